--- a/src/entry/limits/bucket.rs
+++ b/src/entry/limits/bucket.rs
@@ -1,18 +1,18 @@
-//! A bucket of rights to let requests through.
+//! A token bucket; each request that is let through takes one token.
 
 use crate::timer::Moment;
 
-/// How a bucket fills.
+/// Refill rate and capacity of a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketPace {
-    /// Rights that come in a second.
+    /// Tokens added per second.
     pub per_s: f64,
-    /// Rights that it holds at most.
+    /// Maximum number of tokens.
     pub most: f64,
 }
 
 impl BucketPace {
-    /// The part of this pace for a share from 0 to 1.
+    /// Rate and capacity multiplied by a share from 0 to 1.
     ///
     /// ```
     /// use ledgespool::entry::limits::bucket::BucketPace;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Holds rights; they come at a steady pace until it is full.
+/// Holds tokens, which are added at a steady rate until the bucket is full.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     rights: f64,
@@ -36,20 +36,20 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds `rights` at `now`.
+    /// A bucket that holds `rights` tokens at `now`.
     #[must_use]
     pub const fn with_rights(rights: f64, now: Moment) -> Self {
         Self { rights, at: now }
     }
 
-    /// Lets it fill up to `now`.
+    /// Adds the tokens that accrued up to `now`.
     pub fn fill(&mut self, pace: &BucketPace, now: Moment) {
         let came = pace.per_s * now.since(self.at) as f64 / 1_000.0;
         self.rights = (self.rights + came).min(pace.most);
         self.at = self.at.max(now);
     }
 
-    /// Takes `count` rights if it holds as many.
+    /// Takes `count` tokens if the bucket holds that many.
     ///
     /// ```
     /// use ledgespool::entry::limits::bucket::{BucketPace, TokenBucket};
@@ -69,12 +69,12 @@
         true
     }
 
-    /// Gives rights back that were taken and not used, or adds those that others gave.
+    /// Adds tokens, up to the capacity: returns unused ones, or takes in those from other hosts.
     pub fn put(&mut self, count: f64, pace: &BucketPace) {
         self.rights = (self.rights + count).min(pace.most);
     }
 
-    /// What it holds.
+    /// The number of tokens held.
     #[must_use]
     pub const fn rights(&self) -> f64 {
         self.rights
--- a/src/entry/limits/grantor.rs
+++ b/src/entry/limits/grantor.rs
@@ -1,18 +1,19 @@
-//! Pools the parts of limits that members lend, and grants single rights from them.
+//! Pools the shares of limits that members lease to it, and grants single tokens from the pool.
 //!
-//! Answers the load of a customer whose requests come over many hosts: with 67 hosts and 30 requests
-//! a second at each, a customer of 4 requests a second reaches a host every 17 s, so that fixed parts
-//! refuse what is far below the limit (17.8 in 100 requests of a calm day, 1.3 with pools; a play each).
+//! Serves customers whose requests are spread over many hosts: with 67 hosts and 30 requests a
+//! second at each, a customer of 4 requests a second reaches any one host only every 17 s. Fixed
+//! shares then refuse requests far below the limit: 17.8 % of all requests without any fault,
+//! against 1.3 % with pools.
 
 use super::bucket::BucketPace;
 use super::message::{GrantorStamp, LeaseOffer, LeaseReply, RightVerdict};
 use super::{GROUPS, LEASE_MS, LimitBound, START_SHARE};
 use crate::timer::Moment;
 
-/// The longest wait that a denial tells, in milliseconds.
+/// Upper bound of the wait that a denial reports, in milliseconds.
 const LONGEST_WAIT_MS: f64 = 5_000.0;
 
-/// The pools of one host, a group each.
+/// The pools of one host, one per group.
 #[derive(Debug)]
 pub struct LimitGrantor {
     name: String,
@@ -21,7 +22,7 @@
     pools: [RightPool; GROUPS],
 }
 
-/// The part of a member.
+/// The share that one member leases.
 #[derive(Debug, Clone, Copy)]
 struct LentPart {
     run: u64,
@@ -30,31 +31,32 @@
     until: Moment,
 }
 
-/// What is pooled for one group of customers.
+/// The pooled shares and buckets for one group of customers.
 #[derive(Debug, Default)]
 struct RightPool {
     parts: rustc_hash::FxHashMap<String, LentPart>,
     /// The sum of the shares in use.
     share: f64,
-    /// No part ends before.
+    /// The earliest time at which a lease expires.
     next_end: Moment,
     tally: PoolTally,
-    /// Where customers that have not been met since stand.
+    /// The inflow that a new bucket has already accounted for.
     base: PoolTally,
     at: Moment,
     buckets: rustc_hash::FxHashMap<u64, PoolBucket>,
 }
 
-/// What has come in since the process started, as multiples of a customer's pace.
+/// What has flowed into the pool since the process started, as multiples of a customer's bucket
+/// configuration.
 #[derive(Debug, Clone, Copy, Default)]
 struct PoolTally {
-    /// Shares in use, summed up over seconds.
+    /// Shares in use, integrated over time in seconds.
     share_s: f64,
-    /// Shares of members that started.
+    /// Sum of the shares that members added with their initial tokens.
     started: f64,
 }
 
-/// The rights of one customer.
+/// The tokens of one customer.
 #[derive(Debug, Clone, Copy)]
 struct PoolBucket {
     pace: BucketPace,
@@ -63,7 +65,7 @@
 }
 
 impl LimitGrantor {
-    /// A grantor without members.
+    /// A coordinator without members.
     #[must_use]
     pub fn with_name(name: &str, run: u64) -> Self {
         Self {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Takes in what a member offers; `None` for a group that there is not.
+    /// Handles a lease offer of a member; `None` for an unknown group.
     pub fn on_offer(&mut self, offer: &LeaseOffer, now: Moment) -> Option<LeaseReply> {
         let stamp = GrantorStamp {
             run: self.run,
@@ -102,7 +104,7 @@
         })
     }
 
-    /// Grants one right of a customer if its pool has one.
+    /// Grants one token for a customer if its pool has one.
     pub fn grant(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> RightVerdict {
         let pool = &mut self.pools[super::group_of(customer)];
         pool.advance(now);
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Uses no part from now on: this host is about to stop, and its members get theirs back at once.
+    /// Releases all shares: this host is about to stop, and its members may use their shares at
+    /// once.
     pub fn stop(&mut self, now: Moment) {
         self.stopped = true;
         for pool in &mut self.pools {
@@ -131,7 +134,7 @@
         }
     }
 
-    /// The share of all limits of a group that it pools.
+    /// The share of all limits of a group that this host pools.
     #[must_use]
     pub fn share(&self, group: usize) -> f64 {
         self.pools.get(group).map_or(0.0, |pool| pool.share)
@@ -139,7 +142,7 @@
 }
 
 impl RightPool {
-    /// Goes on to `now`; parts whose time is over leave on the way.
+    /// Advances the pool to `now` and drops expired leases on the way.
     fn advance(&mut self, now: Moment) {
         while self.at < now {
             let end = self.next_end.min(now).max(self.at);
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Counts a part from now until `until`; returns the number of the newest offer.
+    /// Counts a share in the pool until `until`; returns the number of the newest offer.
     fn lend(&mut self, offer: &LeaseOffer, until: Moment) -> u64 {
         let known = self.parts.get(&offer.host);
         if let Some(known) = known
@@ -175,8 +178,8 @@
         offer.number
     }
 
-    /// A part is its owner's again; returns the number of the newest offer. The number is kept for as
-    /// long as an earlier offer could still count.
+    /// Returns a share to its owner; returns the number of the newest offer. That number is
+    /// remembered for as long as an earlier offer could still count.
     fn take_back(&mut self, offer: &LeaseOffer, now: Moment) -> u64 {
         let known = self.parts.get(&offer.host);
         if let Some(known) = known
@@ -201,8 +204,8 @@
         self.settle(self.parts.values().map(|part| part.share).sum());
     }
 
-    /// Goes on with another sum of shares. When it shrinks, rights beyond what the smaller pool may hold
-    /// are given up at once: they must not be there again if the part comes back.
+    /// Sets a new sum of shares. If it shrinks, tokens beyond the capacity of the smaller pool are
+    /// dropped at once: they must not reappear when the share is leased again.
     fn settle(&mut self, share: f64) {
         let before = self.share;
         self.share = share;
@@ -227,7 +230,7 @@
         let bucket = self.buckets.entry(customer).or_insert(fresh);
         bucket.fill(&self.tally, self.share);
         if bucket.pace != pace {
-            // A lowered limit binds at once; a raised one fills with time.
+            // A lowered limit applies at once; a raised one fills with time.
             bucket.pace = pace;
             bucket.rights = bucket.rights.min(pace.most * self.share);
         }
@@ -236,7 +239,7 @@
 }
 
 impl PoolBucket {
-    /// Adds what came in since it was last looked at, while the pool had `share`.
+    /// Adds what has flowed in since the last refill, while the pool had `share`.
     fn fill(&mut self, tally: &PoolTally, share: f64) {
         let by_pace = self.pace.per_s * (tally.share_s - self.seen.share_s);
         let by_start = self.pace.most * START_SHARE * (tally.started - self.seen.started);
--- a/src/entry/limits/member.rs
+++ b/src/entry/limits/member.rs
@@ -1,4 +1,5 @@
-//! Lends this host's part of each limit to a grantor, and finds a right for each request.
+//! Leases this host's share of each limit to a coordinator, and decides how each request gets a
+//! token.
 
 use super::bucket::TokenBucket;
 use super::message::{GrantorStamp, LeaseOffer, LeaseReply, RightVerdict};
@@ -6,17 +7,20 @@
 use crate::entry::hash;
 use crate::timer::Moment;
 
-/// A grantor that has not answered for this long is passed over, in milliseconds: three rounds.
+/// A coordinator that has not answered lease offers for this long is skipped, in milliseconds:
+/// three rounds.
 const SILENT_MS: u64 = 600;
-/// And for as long as this after it, in milliseconds: a host that lives again is heard by then.
+/// How long a silent coordinator is skipped, in milliseconds: a host that is alive again has been
+/// seen by then.
 const PASSED_OVER_MS: u64 = 3_000;
-/// A grantor that left one request without an answer is not asked again for this long, in
-/// milliseconds, unless it is heard.
+/// A coordinator that left one request unanswered is not asked again for this long, in
+/// milliseconds, unless it is seen alive.
 const UNANSWERED_MS: u64 = 300;
-/// The same for one that pools nothing, in milliseconds: a round, after which that may have changed.
+/// A coordinator that pools nothing for a customer is not asked again for this long, in
+/// milliseconds: one round, after which that may have changed.
 const NOTHING_POOLED_MS: u64 = 200;
 
-/// The hosts that pool the parts of one group: this region's first, then one of each other region.
+/// The coordinators of one group: that of this region first, then one of each other region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GrantorList {
     /// Names, nearest first.
@@ -24,37 +28,37 @@
 }
 
 impl GrantorList {
-    /// Whether this grantor stands in the own region.
+    /// Whether this coordinator is the one of the own region.
     #[must_use]
     pub fn is_nearest(&self, grantor: &str) -> bool {
         self.names.first().is_some_and(|name| name == grantor)
     }
 }
 
-/// What to do about a request.
+/// The next step for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RightStep {
-    /// Let it through.
+    /// Let the request through.
     Admit,
-    /// Ask this grantor for a right.
+    /// Ask this coordinator for a token.
     Ask(String),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse {
-        /// When there is room, in milliseconds.
+        /// When a token will be available, in milliseconds.
         room_in_ms: u64,
     },
 }
 
-/// An offer and the grantor that it is for.
+/// A lease offer and its receiver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AddressedOffer {
-    /// The grantor's name.
+    /// The coordinator's name.
     pub to: String,
     /// The offer.
     pub offer: LeaseOffer,
 }
 
-/// The parts of one host.
+/// The shares of one host.
 #[derive(Debug)]
 pub struct LimitMember {
     name: String,
@@ -63,45 +67,47 @@
     last_round: Option<Moment>,
     hosts: u32,
     parts: [OwnPart; GROUPS],
-    /// Grantors that did not answer offers are passed over until then.
+    /// Coordinators that did not answer lease offers are skipped until then.
     silent: rustc_hash::FxHashMap<String, Moment>,
-    /// Grantors that left a request without an answer are not asked until then; by hashes of their names.
-    /// They stay grantors: when a host went over to another one, that one pooled nothing. Of 1,220 refusals for
-    /// limits in 12 calm seconds 1,087 had asked such a host (one play, 67 hosts, 2,000 requests a second).
+    /// Coordinators that left a request unanswered are not asked until then; by hashes of their
+    /// names. Shares stay leased to them: when hosts switched to another coordinator, that one
+    /// pooled nothing, which was behind 1,087 of 1,220 limit refusals within 12 s without faults
+    /// (67 hosts, 2,000 requests a second).
     unanswered: rustc_hash::FxHashMap<u64, Moment>,
-    /// Until when a grantor has nothing for a customer, as it told; by hashes of both names.
+    /// Until when a coordinator has no token for a customer, by its own answer; by hashes of both
+    /// names.
     denied: rustc_hash::FxHashMap<(u64, u64), Moment>,
 }
 
-/// This host's part of the limits of one group.
+/// This host's share of the limits of one group.
 #[derive(Debug, Default)]
 struct OwnPart {
     lease: Option<PartLease>,
-    /// Until when some grantor may use the part; it is this host's own from then on.
+    /// Until when a coordinator may use the share; afterwards it is this host's own.
     lent_until: Moment,
-    /// Whether it was ever lent or used.
+    /// Whether the share was ever leased or used, so that its initial tokens are spent.
     touched: bool,
-    /// Whether a grantor has said that it uses it.
+    /// Whether a coordinator has ever confirmed that it uses the share.
     used: bool,
     buckets: rustc_hash::FxHashMap<u64, TokenBucket>,
 }
 
-/// The grantor that a part is lent to, or about to be.
+/// The coordinator that a share is leased to, or is going to be.
 #[derive(Debug, Clone)]
 struct PartLease {
     grantor: String,
     stamp: Option<GrantorStamp>,
-    /// When the stamp was got.
+    /// When the stamp was received.
     stamp_at: Moment,
-    /// When the grantor was last heard, or the lease began.
+    /// When the coordinator last answered, or the lease began.
     heard: Moment,
     last_number: u64,
-    /// Whether the part is asked back.
+    /// Whether the share is being taken back.
     ends: bool,
 }
 
 impl LimitMember {
-    /// A host that has lent nothing yet.
+    /// A member that has leased nothing yet.
     #[must_use]
     pub fn with_name(name: &str, run: u64) -> Self {
         Self {
@@ -117,19 +123,21 @@
         }
     }
 
-    /// All hosts that limits are divided by, as far as this one knows; 0 before the first round.
+    /// The number of hosts that limits are divided by, as far as this host knows; 0 before the
+    /// first round.
     #[must_use]
     pub const fn hosts(&self) -> u32 {
         self.hosts
     }
 
-    /// Whether its part of the limits of a group is lent.
+    /// Whether its share of the limits of a group is leased.
     #[must_use]
     pub fn has_lent(&self, group: usize, now: Moment) -> bool {
         self.parts.get(group).is_some_and(|part| part.is_lent(now))
     }
 
-    /// Whether its part of the limits of a group was ever used by a grantor, or here.
+    /// Whether a coordinator has ever confirmed that it uses this host's share of the limits of a
+    /// group.
     #[must_use]
     pub fn was_lent(&self, group: usize) -> bool {
         self.parts.get(group).is_some_and(|part| part.used)
@@ -142,13 +150,14 @@
         1.0 / f64::from(self.hosts)
     }
 
-    /// Whether a grantor is to be passed over, since it was silent.
+    /// Whether a coordinator is skipped because it did not answer.
     #[must_use]
     pub fn passes_over(&self, grantor: &str, now: Moment) -> bool {
         self.silent.get(grantor).is_some_and(|until| now < *until)
     }
 
-    /// What to send in this round: `hosts` share all limits, and `wanted` should pool each group.
+    /// Returns the lease offers of this round. `hosts` is the number of hosts that share all
+    /// limits, `wanted` the preferred coordinator of each group.
     pub fn round(
         &mut self,
         hosts: u32,
@@ -168,7 +177,7 @@
         offers
     }
 
-    /// After a pause of this host itself, grantors get the time to be heard again.
+    /// If this host itself was stalled, gives the coordinators time to answer again.
     fn forgive_own_pause(&mut self, now: Moment) {
         let before = self.last_round.replace(now);
         if before.is_none_or(|before| now.since(before) <= 2 * ROUND_MS) {
@@ -179,7 +188,8 @@
         }
     }
 
-    /// Ends the lease of a grantor that is silent or not wanted any more; begins the next one.
+    /// Ends the lease with a coordinator that is silent or no longer wanted; then begins the next
+    /// one.
     fn look_after_lease(&mut self, group: usize, wanted: Option<&str>, now: Moment) {
         let part = &mut self.parts[group];
         if let Some(lease) = &mut part.lease {
@@ -240,7 +250,8 @@
         })
     }
 
-    /// A grantor has read an offer. Returns the next one, if it must not wait for the next round.
+    /// Handles the reply to an offer. Returns the next offer if it must not wait for the next
+    /// round.
     pub fn on_reply(&mut self, reply: &LeaseReply, now: Moment) -> Option<AddressedOffer> {
         self.silent.remove(&reply.host);
         self.unanswered.remove(&hash::of_name(&reply.host));
@@ -260,7 +271,8 @@
         if reply.uses || reply.number != lease.last_number {
             return None;
         }
-        // It has read the last offer and does not use the part, nor will it by an earlier one.
+        // The coordinator has read the last offer and does not use the share, and no earlier offer
+        // can make it do so.
         let ends = lease.ends;
         part.lent_until = part.lent_until.min(now);
         if ends {
@@ -270,8 +282,9 @@
         known.is_none().then(|| self.next_offer(group)).flatten()
     }
 
-    /// What to do about a request of the customer with this hash; `asked` grantors had no right. When no more
-    /// may be asked, those that were say when there is room.
+    /// The next step for a request of the customer with this hash, after `asked` coordinators had
+    /// no token. When the maximum number was asked, their answers say when a token will be
+    /// available.
     pub fn next_step(
         &mut self,
         customer: u64,
@@ -299,7 +312,7 @@
         }
     }
 
-    /// Until when asking this grantor is of no use, if that is known.
+    /// Until when asking this coordinator is known to be useless.
     fn nothing_until(&self, customer: u64, grantor: &str, now: Moment) -> Option<Moment> {
         let name = hash::of_name(grantor);
         let waits = [
@@ -311,7 +324,7 @@
         until.filter(|until| now < *until)
     }
 
-    /// What a grantor answered about a customer.
+    /// Records a coordinator's answer about a customer.
     pub fn on_verdict(&mut self, grantor: &str, customer: u64, verdict: RightVerdict, now: Moment) {
         self.unanswered.remove(&hash::of_name(grantor));
         let millis = match verdict {
@@ -323,13 +336,13 @@
         self.denied.insert(key, now.plus(millis));
     }
 
-    /// A grantor left a request without an answer.
+    /// Records that a coordinator left a request unanswered.
     pub fn on_unanswered(&mut self, grantor: &str, now: Moment) {
         let until = now.plus(UNANSWERED_MS);
         self.unanswered.insert(hash::of_name(grantor), until);
     }
 
-    /// Takes a right from this host's own part, if that is not lent.
+    /// Takes a token from this host's own share, unless the share is leased.
     fn take_own(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> bool {
         let pace = bound.pace().part(self.share());
         let part = &mut self.parts[super::group_of(customer)];
--- a/src/entry/limits/message.rs
+++ b/src/entry/limits/message.rs
@@ -1,135 +1,136 @@
-//! What hosts say to each other about the limits of customers.
+//! Messages between hosts about the limits of customers.
 
 use std::net;
 
 use crate::timer::Moment;
 
-/// The time of a grantor's clock, which its members send back: by it the grantor knows how long it
-/// may use a part, however long a datagram was on its way.
+/// A time of the coordinator's clock, which members echo back. It tells the coordinator how long it
+/// may use a share, no matter how long a datagram was in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct GrantorStamp {
-    /// The run of the grantor's process; a stamp of another run counts nothing.
+    /// The run of the coordinator's process; stamps of other runs are ignored.
     pub run: u64,
-    /// Milliseconds of that run.
+    /// Milliseconds on the clock of that run.
     pub at_ms: u64,
 }
 
 impl GrantorStamp {
-    /// The moment on the grantor's clock.
+    /// The moment on the coordinator's clock.
     #[must_use]
     pub const fn moment(&self) -> Moment {
         Moment(self.at_ms)
     }
 }
 
-/// A member lends its part of the limits of one group, or takes it back.
+/// A member leases its share of the limits of one group, or takes it back.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LeaseOffer {
     /// The member's name.
     pub host: String,
-    /// The run of its process.
+    /// The run of the member's process.
     pub run: u64,
-    /// Rises with each offer of this run; an offer that arrives late changes nothing.
+    /// Rises with each offer of this run; offers that arrive out of order are ignored.
     pub number: u64,
     /// The group of customers.
     pub group: u8,
-    /// The part of all limits that it lends; 0 to take it back.
+    /// The share of all limits that is leased; 0 to take it back.
     pub share: f64,
-    /// Whether the start share of this part, of which nothing was used yet, goes with it; said once.
+    /// Whether the initial tokens of this share are still unused and go with it; set in one offer
+    /// only.
     pub unused: bool,
-    /// The last stamp of the grantor that it got.
+    /// The newest stamp that the member received from the coordinator.
     pub stamp: Option<GrantorStamp>,
 }
 
-/// A grantor has read an offer.
+/// A coordinator's reply to an offer.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LeaseReply {
-    /// The grantor's name.
+    /// The coordinator's name.
     pub host: String,
-    /// Its time.
+    /// The coordinator's time.
     pub stamp: GrantorStamp,
     /// The group of customers.
     pub group: u8,
-    /// The number of the offer that it read last.
+    /// The number of the newest offer that the coordinator has read.
     pub number: u64,
-    /// Whether it uses the part that was offered.
+    /// Whether the coordinator uses the offered share.
     pub uses: bool,
 }
 
-/// A member asks for the right to let one request through.
+/// A member asks for a token to let one request through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RightRequest {
-    /// Tells the answer to this one apart.
+    /// Matches the answer to this request.
     pub id: u64,
     /// A hash of the customer's name.
     pub customer: u64,
-    /// Who asked, where a host that pools nothing has passed the question on.
+    /// The requester, if a host that pools nothing has forwarded the request.
     pub reply_to: Option<net::SocketAddr>,
 }
 
-/// What a grantor answers.
+/// A coordinator's answer to a token request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RightAnswer {
     /// The identity of the request.
     pub id: u64,
-    /// The customer.
+    /// A hash of the customer's name.
     pub customer: u64,
-    /// What was decided.
+    /// The decision.
     pub verdict: RightVerdict,
 }
 
-/// Whether a right was granted.
+/// Whether a token was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum RightVerdict {
-    /// It was.
+    /// A token was granted.
     Granted,
-    /// Its pool has none.
+    /// The pool has no token left.
     Denied {
-        /// When it will, in milliseconds.
+        /// When it will have one, in milliseconds.
         room_in_ms: u32,
     },
-    /// It pools no parts for that customer, or does not know it.
+    /// The host pools no shares for that customer, or does not know it.
     NotHere,
 }
 
 /// A datagram about limits.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum LimitMessage {
-    /// To a grantor.
+    /// To a coordinator.
     Offer(LeaseOffer),
     /// To a member.
     Reply(LeaseReply),
-    /// To a grantor.
+    /// To a coordinator.
     Request(RightRequest),
     /// To a member.
     Answer(RightAnswer),
 }
 
-/// What a host found out before it refused a request for its customer's limit.
+/// What a host learned before it refused a request because of its customer's limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LimitTrace {
-    /// Grantors that had no right left.
+    /// Coordinators that had no token left.
     pub denied: u8,
-    /// Grantors that pool nothing for the customer.
+    /// Coordinators that pool nothing for the customer.
     pub not_here: u8,
-    /// Grantors that did not answer in time.
+    /// Coordinators that did not answer in time.
     pub unanswered: u8,
-    /// All hosts that this one divides limits by.
+    /// The number of hosts that this one divides limits by.
     pub hosts: u32,
-    /// Whether its own part was lent.
+    /// Whether its own share was leased.
     pub lent: bool,
-    /// When there is room, in milliseconds, as far as is known.
+    /// When a token will be available, in milliseconds, as far as is known.
     pub room_in_ms: u64,
 }
 
 impl LimitTrace {
-    /// Grantors that were asked.
+    /// The number of coordinators that were asked.
     #[must_use]
     pub fn asked(&self) -> usize {
         usize::from(self.denied) + usize::from(self.not_here) + usize::from(self.unanswered)
     }
 
-    /// A grantor was asked in vain; `None` for no answer.
+    /// Counts a coordinator that granted no token; `None` for no answer.
     pub const fn on_verdict(&mut self, verdict: Option<RightVerdict>) {
         match verdict {
             Some(RightVerdict::Granted) => {}
--- a/src/entry/limits/mod.rs
+++ b/src/entry/limits/mod.rs
@@ -1,13 +1,14 @@
-//! How many requests of a customer all hosts together let through.
+//! Limits on the requests that all hosts together let through for a customer.
 //!
-//! Each host owns a part of every limit. It lends that part, for a short lease at a time, to one host
-//! of its region, the [`grantor`], which pools the parts of all and grants single rights to whoever
-//! asks; [`member`] is the other side. A host that reaches no grantor goes by its own part. Rights are
-//! only ever moved, so their sum stays within the bound of each sliding window,
-//! [`LimitBound::allowed`], whatever is cut, killed or late; docs/design/limits.md has the proof and
-//! the other ways that were measured.
+//! Each host owns a share of every limit. It leases that share, for a short time, to one host of
+//! its region, the [`grantor`], which pools the shares of all members and grants single tokens on
+//! request; [`member`] is the other side. A host that reaches no coordinator uses its own share.
+//! Tokens are only ever moved, so their sum stays within the bound of each sliding window,
+//! [`LimitBound::allowed`], whatever is partitioned, killed or delayed; docs/design/limits.md has
+//! the proof and a comparison with other strategies.
 //!
-//! Nothing here reads a clock or a socket: moments and messages come in, verdicts and messages go out.
+//! Nothing here reads a clock or a socket: times and messages are passed in, decisions and messages
+//! are returned.
 
 pub mod bucket;
 pub mod grantor;
@@ -18,56 +19,58 @@
 use super::customer::RateLimit;
 use super::hash;
 
-/// Customers are dealt out to this many groups, each with a grantor of its own: the loss of one
-/// grantor concerns a quarter of them, and a host sends as many lease messages a round.
+/// The number of groups that customers are divided into, each with its own coordinator: the loss of
+/// one coordinator affects a quarter of them. A host sends one lease message per group and round.
 pub const GROUPS: usize = 4;
-/// How long a grantor may use a part after it last told its owner the time, in milliseconds: four
-/// rounds of [`ROUND_MS`], so that single lost datagrams change nothing.
+/// How long a coordinator may use a share after it sent the stamp that the share's owner echoes
+/// back, in milliseconds: four rounds of [`ROUND_MS`], so that the loss of single datagrams has no
+/// effect.
 pub const LEASE_MS: u64 = 800;
-/// The time between two lease messages of a host, in milliseconds.
+/// The time between two rounds of lease messages of a host, in milliseconds.
 pub const ROUND_MS: u64 = 200;
-/// A granted right must be used within this time after it was asked for, in milliseconds: two ways
-/// between far regions, and some waiting on small hosts.
+/// A granted token must be used within this time after it was requested, in milliseconds: the round
+/// trip between distant regions, and some delay on small hosts.
 pub const RIGHT_LIFE_MS: u64 = 250;
-/// Grantors that are asked for one request at most, so that a refusal comes after [`NEAR_WAIT_MS`] and
-/// [`FAR_WAIT_MS`] at the latest.
+/// The maximum number of coordinators that are asked for one request, so that a refusal comes after
+/// [`NEAR_WAIT_MS`] and [`FAR_WAIT_MS`] at the latest.
 pub const MOST_ASKED: usize = 2;
-/// The longest wait for the answer of a grantor of the own region, in milliseconds: some ways there and
-/// back, and the turn of a small host's processor, which may take a tenth of a second.
+/// Timeout for the answer of a coordinator of the own region, in milliseconds: a few round trips,
+/// and the scheduling delay on a small host, which may reach 100 ms.
 pub const NEAR_WAIT_MS: u64 = 120;
-/// The same in another region, in milliseconds; a right is good for little longer.
+/// Timeout for the answer of a coordinator of another region, in milliseconds; a token is valid for
+/// little longer.
 pub const FAR_WAIT_MS: u64 = 200;
-/// Of what a part may hold at most, a process starts with this share: else the first requests after a
-/// return of all hosts would wait for rights to come in.
+/// The share of its bucket capacity that a process starts with: otherwise the first requests after
+/// a restart of all hosts would wait for tokens to accrue.
 const START_SHARE: f64 = 0.25;
-/// Starts of one host within a window that the bound has room for.
+/// The number of starts of one host within a window that the bound allows for.
 const STARTS_IN_WINDOW: f64 = 2.0;
-/// Of what the bound allows, at least this share is left for rights that are held at one time: where
-/// it leaves little beside the pace, no host would ever hold a whole right.
+/// The minimum share of the bound that is left for bucket capacity: if the rate took nearly all of
+/// it, no host would ever hold a whole token.
 const LEAST_HELD_SHARE: f64 = 0.15;
 
-/// How far the count of all hosts may go beyond what customers are promised.
+/// How far the count of all hosts may exceed the limit that customers are promised.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTolerance {
     /// The window over which requests are counted, in seconds.
     pub window_s: f64,
-    /// What may go beyond the limit, as a share of it.
+    /// The allowed excess, as a share of the limit.
     pub excess: f64,
-    /// And this many requests in a window beside.
+    /// The number of requests in a window that are allowed in addition.
     pub slack: f64,
 }
 
-/// What all hosts together may let through.
+/// The bound on what all hosts together may let through.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitBound {
     /// The customer's limit.
     pub limit: RateLimit,
-    /// What may go beyond it.
+    /// How far it may be exceeded.
     pub tolerance: LimitTolerance,
 }
 
 impl LimitBound {
-    /// Requests that all hosts together may let through in any one window.
+    /// The number of requests that all hosts together may let through in any one window.
     ///
     /// ```
     /// use ledgespool::entry::customer::RateLimit;
@@ -84,13 +87,13 @@
         promised * (1.0 + self.tolerance.excess) + self.tolerance.slack
     }
 
-    /// How rights come in for all hosts together: a window, and the life of rights that were granted
-    /// just before it, hold no more than [`Self::allowed`].
+    /// The bucket configuration for all hosts together: the tokens of a window, and those granted
+    /// up to one token lifetime before it, do not exceed [`Self::allowed`].
     #[must_use]
     pub fn pace(&self) -> BucketPace {
         let allowed = self.allowed();
         let counted_s = self.tolerance.window_s + RIGHT_LIFE_MS as f64 / 1_000.0;
-        // Half of the excess goes to the pace, the other half to what is held.
+        // Half of the excess raises the rate, the other half the capacity.
         let wanted = self.limit.per_s * (1.0 + self.tolerance.excess / 2.0);
         let per_s = wanted.min(allowed * (1.0 - LEAST_HELD_SHARE) / counted_s);
         let held = allowed - per_s * counted_s;
