--- a/src/entry/limit_role/lending.rs
+++ b/src/entry/limit_role/lending.rs
@@ -1,4 +1,4 @@
-//! Lends this host's parts of limits to the hosts that pool them, in rounds.
+//! Leases this host's shares of limits to the coordinators, in periodic rounds.
 
 use std::{rc, time};
 
@@ -11,7 +11,7 @@
 use crate::entry::peers::GrantorPlace;
 use crate::entry::wire::WireProtocol;
 
-/// Starts the rounds in which this host lends its parts.
+/// Starts the task that runs the lease rounds of this host.
 pub(in crate::entry) fn spawn<W: WireProtocol>(host: &rc::Rc<EntryHost<W>>) {
     tokio::task::spawn_local(lend_in_rounds(rc::Rc::clone(host)));
 }
@@ -29,7 +29,7 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// One round: who pools what is looked up anew, and this host's parts are offered.
+    /// Runs one round: looks up the coordinators again and offers this host's shares to them.
     pub(super) fn lend_parts(&self) {
         self.limits.questions.forget_abandoned();
         let now = self.now();
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The grantors of each group: the own region's first, then those of the others.
+    /// The coordinators of each group: that of the own region first, then those of the others.
     fn grantor_places(&self, own_region: &str) -> [Vec<Option<GrantorPlace>>; GROUPS] {
         let now = self.now();
         let own = self.record();
@@ -97,7 +97,7 @@
         }
     }
 
-    /// This host is a grantor of its own: what would be sent goes from one role to the other.
+    /// This host is its own coordinator: passes the messages from one role to the other directly.
     fn lend_to_itself(&self, offer: LeaseOffer) {
         let now = self.now();
         let mut next = Some(offer);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// This host is about to stop: those that lent it their parts get them back.
+    /// Releases the shares that members have leased to this host, which is about to stop.
     pub(in crate::entry) fn stop_granting(&self) {
         self.limits.grantor.borrow_mut().stop(self.now());
     }
--- a/src/entry/limit_role/messages.rs
+++ b/src/entry/limit_role/messages.rs
@@ -1,4 +1,4 @@
-//! Answers what other hosts say and ask about limits.
+//! Handles messages of other hosts about limits.
 
 use std::net;
 
@@ -10,7 +10,7 @@
 use crate::entry::wire::WireProtocol;
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Where the other host of this region is that pools the limit of a customer.
+    /// The address of the coordinator of a customer in this region, if that is another host.
     fn near_grantor(&self, customer: u64) -> Option<net::SocketAddr> {
         let lists = self.limits.lists.borrow();
         let name = lists[limits::group_of(customer)].names.first()?;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Another host says something about limits.
+/// Handles a message of another host about limits.
 pub(in crate::entry) fn on_message<W: WireProtocol>(
     host: &EntryHost<W>,
     message: LimitMessage,
@@ -68,9 +68,10 @@
     }
 }
 
-/// Answers a question, or passes it on to the host of this region that pools what was asked for: hosts of
-/// other regions know little of who lives here. Of 587 refusals for limits in 16 calm seconds 471 had asked a
-/// host that pooled nothing (one play, 67 hosts, 2,000 requests a second).
+/// Answers a token request, or forwards it to the coordinator of this region: hosts of other
+/// regions know little about which hosts are alive here. Without forwarding, 471 of 587 limit
+/// refusals within 16 s without faults had asked a host that pooled nothing (67 hosts, 2,000
+/// requests a second).
 fn on_request<W: WireProtocol>(
     host: &EntryHost<W>,
     request: RightRequest,
--- a/src/entry/limit_role/mod.rs
+++ b/src/entry/limit_role/mod.rs
@@ -1,8 +1,8 @@
-//! What the limits of customers say of this host's requests, and its part in keeping them: it joins
-//! the state machines of [`limits`] to the sockets and the clock.
+//! Applies the limits of customers to this host's requests, and connects the state machines of
+//! [`limits`] to the sockets and the clock.
 //!
-//! Here a request finds its right; [`lending`] lends this host's parts in rounds, [`messages`] answers
-//! other hosts.
+//! This module gets a token for each request; [`lending`] leases this host's shares in rounds,
+//! [`messages`] answers other hosts.
 
 mod lending;
 mod messages;
@@ -29,16 +29,16 @@
 pub(super) use self::lending::spawn;
 pub(super) use self::messages::on_message;
 
-/// Come-back times lie between these multiples of the time until there is room again, so that
-/// those who were refused together do not come back together.
+/// Retry times are sampled between these multiples of the time until a token is available, so that
+/// requests that were refused together are not repeated together.
 const COME_BACK_SHARES: std::ops::Range<f64> = 1.0..2.0;
-/// The shortest come-back time, in milliseconds: about what other requests of a busy customer take
-/// to move on.
+/// The minimum retry time, in milliseconds: about the time in which other requests of a busy
+/// customer complete.
 const COME_BACK_MIN_MS: f64 = 50.0;
-/// The longest wait of a host that has just started for its first lease: as long as for an answer.
+/// How long a host that has just started waits for its first lease: as long as for an answer.
 const FIRST_LEASE_WAIT: time::Duration = time::Duration::from_millis(NEAR_WAIT_MS);
 
-/// This host's part in keeping limits.
+/// This host's state as a member and coordinator of customer limits.
 #[derive(Debug)]
 pub struct LimitRole {
     member: cell::RefCell<LimitMember>,
@@ -46,14 +46,14 @@
     lists: cell::RefCell<[GrantorList; GROUPS]>,
     places: cell::RefCell<collections::HashMap<String, net::SocketAddr>>,
     questions: PendingAnswers<RightVerdict>,
-    /// Told when a grantor uses a part of this host.
+    /// Notified when a coordinator uses a share of this host.
     lent: Notify,
-    /// Told when a configuration is put in force, by which there may be limits.
+    /// Notified when a configuration, which may contain limits, is applied.
     configured: Notify,
 }
 
 impl LimitRole {
-    /// The role of a host that has met no other yet.
+    /// The role of a host that has seen no other host yet.
     #[must_use]
     pub fn of_host(name: &str, run: u64) -> Self {
         Self {
@@ -67,19 +67,19 @@
         }
     }
 
-    /// A configuration was put in force.
+    /// Handles a newly applied configuration.
     pub(super) fn on_configured(&self) {
         self.configured.notify_waiters();
     }
 
-    /// All hosts that this one divides limits by; 0 before its first round.
+    /// The number of hosts that this one divides limits by; 0 before its first round.
     pub(super) fn hosts(&self) -> u32 {
         self.member.borrow().hosts()
     }
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Lets one request of `customer` through, or says when there is room for it.
+    /// Lets one request of `customer` through, or fails with the time at which to retry.
     pub(super) async fn admit(&self, customer: &CustomerRule) -> Result<(), RequestFailure> {
         let Some(bound) = self.limit_bound(customer) else {
             return Ok(());
@@ -126,8 +126,9 @@
         }
     }
 
-    /// A host that has just started lends its part at once, and waits a moment for that: when it waited for
-    /// its next round instead, 1,140 requests were refused within 0.3 s of a return of 67 hosts.
+    /// A host that has just started leases its share at once, and waits briefly for the lease: when
+    /// hosts waited for their next round instead, 67 hosts that restarted together refused 1,140
+    /// requests within 0.3 s.
     async fn wait_for_pool(&self, group: usize) {
         if !self.is_starting() || self.limits.member.borrow().was_lent(group) {
             return;
@@ -139,11 +140,11 @@
         if self.limits.member.borrow().has_lent(group, self.now()) {
             return;
         }
-        // Whether it came is seen by the answer of the grantor.
+        // If the lease did not begin, the coordinator's answer shows it.
         let _elapsed = tokio::time::timeout(FIRST_LEASE_WAIT, lent).await;
     }
 
-    /// Asks a grantor for a right; `None` when it does not answer in time.
+    /// Asks a coordinator for a token; `None` if it does not answer in time.
     async fn ask(&self, grantor: &str, customer: u64, bound: &LimitBound) -> Option<RightVerdict> {
         let verdict = if grantor == self.settings().name {
             let mut own = self.limits.grantor.borrow_mut();
