--- a/src/entry/server_limit/message.rs
+++ b/src/entry/server_limit/message.rs
@@ -1,23 +1,24 @@
-//! What hosts tell and ask each other about the limits that backend servers name.
+//! Messages between hosts about the limits that backend servers advertise.
 
 use std::net;
 
 use super::rate::RequestRate;
 use crate::entry::limits::message::RightVerdict;
 
-/// The newest that a host knows of one server's limit.
+/// The newest state that a host knows of one server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LimitWord {
     /// A hash of the server's identity and start.
     pub server: u64,
-    /// Rises with each change; of two the higher one holds.
+    /// Rises with each change; the higher version wins.
     pub version: u32,
-    /// The limit; `None` when it is over.
+    /// The limit; `None` once it has ended.
     pub rate: Option<RequestRate>,
 }
 
 impl LimitWord {
-    /// Whether this word holds beside `other`. Of two hosts that wrote the same version the stricter one is believed.
+    /// Whether this update replaces `other`. If two hosts wrote the same version, the stricter
+    /// limit wins.
     ///
     /// ```
     /// use ledgespool::entry::server_limit::message::LimitWord;
@@ -40,35 +41,35 @@
     }
 }
 
-/// A host asks for the right to send one request to a server.
+/// A host asks for a token to send one request to a server.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct SendRightRequest {
-    /// Tells the answer to this one apart.
+    /// Matches the answer to this request.
     pub id: u64,
     /// The server, and what the host knows of its limit.
     pub word: LimitWord,
-    /// Who asked, where a host that is not the keeper has passed the question on.
+    /// The requester, if a host that is not the limit owner has forwarded the request.
     pub reply_to: Option<net::SocketAddr>,
 }
 
-/// What a keeper answers.
+/// A limit owner's answer to a token request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct SendRightAnswer {
-    /// The identity of the question.
+    /// The identity of the request.
     pub id: u64,
-    /// What the keeper knows of the limit.
+    /// What the limit owner knows of the limit.
     pub word: LimitWord,
-    /// What was decided.
+    /// The decision.
     pub verdict: RightVerdict,
 }
 
-/// One datagram about the limits of servers.
+/// A datagram about the limits of servers.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ServerLimitMessage {
-    /// News, or what the host that gets it was seen to lack.
+    /// New updates, or those that the receiver was found to be missing.
     Words(Vec<LimitWord>),
-    /// To a keeper.
+    /// To a limit owner.
     Ask(SendRightRequest),
-    /// From a keeper.
+    /// From a limit owner.
     Answer(SendRightAnswer),
 }
--- a/src/entry/server_limit/rate.rs
+++ b/src/entry/server_limit/rate.rs
@@ -1,6 +1,6 @@
-//! Rates of requests as backend servers name them.
+//! Request rates, as backend servers advertise them.
 
-/// Requests a second, in thousandths: rates compare exactly and take few bytes.
+/// Requests a second, stored in thousandths so that rates compare exactly and encode in few bytes.
 ///
 /// ```
 /// use ledgespool::entry::server_limit::rate::RequestRate;
@@ -18,7 +18,7 @@
 const MILLI: f64 = 1_000.0;
 
 impl RequestRate {
-    /// Reads a decimal number of requests a second; `None` for anything that is no rate.
+    /// Parses a decimal number of requests a second; `None` if it is not a valid rate.
     #[must_use]
     pub fn from_text(text: &str) -> Option<Self> {
         let per_s: f64 = text.trim().parse().ok()?;
@@ -34,19 +34,20 @@
     }
 }
 
-/// What an answer says of the requests that its server takes from all hosts together.
+/// The limit that an answer advertises for its server: the requests that it takes from all hosts
+/// together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NamedLimit {
-    /// Nothing.
+    /// No limit.
     Absent,
-    /// At most so many.
+    /// At most this rate.
     Rate(RequestRate),
-    /// Something that is no rate.
+    /// A value that is not a valid rate.
     Unreadable,
 }
 
 impl NamedLimit {
-    /// What all values that one answer names say together: the lowest rate holds.
+    /// Combines all values that one answer advertises: the lowest rate applies.
     ///
     /// ```
     /// use ledgespool::entry::server_limit::rate::NamedLimit;
--- a/src/entry/server_limit/right.rs
+++ b/src/entry/server_limit/right.rs
@@ -1,18 +1,18 @@
-//! The right to send one request to one server, as the sender holds it.
+//! The token to send one request to one server, as its holder sees it.
 
 use crate::timer::Moment;
 
-/// Whether a request may be sent to a server as far as the limit goes that this names.
+/// Permission to send one request to a server, as far as its advertised limit is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendRight {
-    /// The server named no limit when the right was looked for.
+    /// The server advertised no limit when the token was requested.
     NotNeeded,
-    /// Its keeper gave the right, which is good until then.
+    /// Granted by the limit owner and valid until then.
     Until(Moment),
 }
 
 impl SendRight {
-    /// Whether it is good at `now` for a server that names a limit, or names none.
+    /// Whether the token is valid at `now`, given whether the server advertises a limit.
     ///
     /// ```
     /// use ledgespool::entry::server_limit::right::SendRight;
@@ -20,7 +20,7 @@
     /// let right = SendRight::Until(Moment(250));
     /// assert!(right.is_good(true, Moment(250)) && !right.is_good(true, Moment(251)));
     /// assert!(SendRight::NotNeeded.is_good(false, Moment(0)));
-    /// // The server named its limit while a connection was opened.
+    /// // The server advertised its limit while a connection was being opened.
     /// assert!(!SendRight::NotNeeded.is_good(true, Moment(0)));
     /// ```
     #[must_use]
--- a/src/entry/server_limit/table.rs
+++ b/src/entry/server_limit/table.rs
@@ -1,4 +1,4 @@
-//! What one host knows of the limits of servers, and the rights that it gives out as their keeper.
+//! The limits of servers that one host knows, and the tokens that it grants as limit owner.
 
 use super::message::LimitWord;
 use super::rate::{NamedLimit, RequestRate};
@@ -7,52 +7,52 @@
 use crate::entry::limits::message::RightVerdict;
 use crate::timer::Moment;
 
-/// An unbroken time in which a server names a limit, as this host knows it.
+/// An uninterrupted period in which a server advertises a limit, as this host knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitSpell(u32);
 
-/// What an answer or a word changed.
+/// The change that an answer or an update caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitChange {
-    /// Nothing.
+    /// No change.
     None,
-    /// The server names a limit, and named none before.
+    /// The server advertises a limit, and advertised none before.
     Began(RequestRate),
-    /// It names another limit.
+    /// The server advertises a different limit.
     Moved(RequestRate),
-    /// Its limit is over.
+    /// The limit has ended.
     Ended,
 }
 
-/// What is known of one server's limit.
+/// The state of one server's limit.
 #[derive(Debug)]
 struct LimitEntry {
     word: LimitWord,
     spell: u32,
-    /// When it last changed.
+    /// When the limit last changed.
     changed: Moment,
-    /// No right may be expected before.
+    /// No token can be expected before.
     closed_until: Moment,
-    /// Whether this host gave out its rights when it was last asked.
+    /// Whether this host was the limit owner when last asked.
     keeps: bool,
     bucket: TokenBucket,
-    /// Rights up to here are promised to those that were denied one.
+    /// Tokens up to this time are promised to hosts that were denied one.
     promised: Moment,
 }
 
-/// The limits of all servers that named one lately.
+/// The limits of all servers that advertised one recently.
 #[derive(Debug, Default)]
 pub struct ServerLimitTable {
     entries: rustc_hash::FxHashMap<u64, LimitEntry>,
-    /// Servers of which others are to be told.
+    /// Servers whose update is not yet sent to other hosts.
     news: Vec<u64>,
-    /// Where the next heartbeat goes on.
+    /// Where the next heartbeat continues.
     cursor: usize,
 }
 
 impl ServerLimitTable {
-    /// An answer of `server` came to a request that was sent in `sent_in`. The end of a limit is believed only of
-    /// an answer that `proves` what it says.
+    /// Handles an answer of `server` to a request that was sent in the period `sent_in`. An answer
+    /// can end a limit only if it `proves` that the server itself wrote it.
     pub fn on_answer(
         &mut self,
         server: u64,
@@ -83,11 +83,12 @@
         self.learn(server, version, rate, now)
     }
 
-    /// Another host tells what it knows.
+    /// Handles an update from another host.
     pub fn on_word(&mut self, word: &LimitWord, now: Moment) -> LimitChange {
         let holds = match self.entries.get(&word.server) {
             Some(known) => word.holds_beside(&known.word),
-            // That a limit is over which nobody here knows is no news: it would be told on for ever.
+            // The end of a limit that is unknown here is ignored: otherwise hosts would send it to
+            // each other for ever.
             None => word.rate.is_some(),
         };
         if !holds {
@@ -96,7 +97,7 @@
         self.learn(word.server, word.version, word.rate, now)
     }
 
-    /// What a host that told `word` lacks.
+    /// The newer update that the sender of `word` is missing.
     #[must_use]
     pub fn word_beyond(&self, word: &LimitWord) -> Option<LimitWord> {
         let known = self.entries.get(&word.server)?.word;
@@ -120,53 +121,53 @@
             (Some(_), None) => LimitChange::Ended,
             (Some(_), Some(_)) | (None, None) => LimitChange::None,
         };
-        // Another limit concerns the keeper only, and questions tell it.
+        // A changed rate matters only to the limit owner, which learns it from the token requests.
         if matches!(change, LimitChange::Began(_) | LimitChange::Ended) {
             self.news.push(server);
         }
         change
     }
 
-    /// The limit of `server`; `None` when it names none.
+    /// The limit of `server`; `None` if it advertises none.
     #[must_use]
     pub fn rate_of(&self, server: u64) -> Option<RequestRate> {
         self.entries.get(&server)?.word.rate
     }
 
-    /// What this host knows of `server`, if that names a limit.
+    /// What this host knows of `server`, if that advertises a limit.
     #[must_use]
     pub fn word_of(&self, server: u64) -> Option<LimitWord> {
         let word = self.entries.get(&server)?.word;
         word.rate.is_some().then_some(word)
     }
 
-    /// In which time of a limit a request that is sent to `server` now falls.
+    /// The limit period that a request sent to `server` now belongs to.
     #[must_use]
     pub fn spell_of(&self, server: u64) -> Option<LimitSpell> {
         self.entries.get(&server)?.current_spell()
     }
 
-    /// Whether a right for `server` may be had, or none is needed.
+    /// Whether a token for `server` can be expected now, or none is needed.
     #[must_use]
     pub fn is_open(&self, server: u64, now: Moment) -> bool {
         self.opens_at(server).is_none_or(|opens| opens <= now)
     }
 
-    /// When a right for `server` may be had; `None` when none is needed.
+    /// When a token for `server` can be expected; `None` if none is needed.
     #[must_use]
     pub fn opens_at(&self, server: u64) -> Option<Moment> {
         let entry = self.entries.get(&server)?;
         entry.word.rate.map(|_| entry.closed_until)
     }
 
-    /// No right for `server` may be expected within `wait_ms`.
+    /// Records that no token for `server` can be expected within `wait_ms`.
     pub fn on_denied(&mut self, server: u64, wait_ms: u64, now: Moment) {
         if let Some(entry) = self.entries.get_mut(&server) {
             entry.closed_until = now.plus(wait_ms);
         }
     }
 
-    /// Gives out one right as the keeper of `server`, or says when there is one.
+    /// Grants one token as the limit owner of `server`, or denies it and says when to expect one.
     pub fn grant(&mut self, server: u64, now: Moment) -> RightVerdict {
         let Some(entry) = self.entries.get_mut(&server) else {
             return RightVerdict::NotHere;
@@ -181,21 +182,21 @@
         entry.grant(&pace_of(rate), now)
     }
 
-    /// Another host is the keeper of `server`.
+    /// Records that another host is the limit owner of `server`.
     pub fn on_other_keeper(&mut self, server: u64) {
         if let Some(entry) = self.entries.get_mut(&server) {
             entry.keeps = false;
         }
     }
 
-    /// Servers that name a limit.
+    /// The number of servers that advertise a limit.
     #[must_use]
     pub fn limited_count(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| entry.word.rate.is_some()).count()
     }
 
-    /// What others are to be told at once; each is handed out once.
+    /// The updates to send to other hosts at once; each is returned once.
     pub fn take_news(&mut self) -> Vec<LimitWord> {
         let mut servers = std::mem::take(&mut self.news);
         servers.sort_unstable();
@@ -204,7 +205,7 @@
         entries.map(|entry| entry.word).collect()
     }
 
-    /// What the next heartbeat tells: all words in turn.
+    /// The updates for the next heartbeat; heartbeats go through all of them round robin.
     pub fn words_in_turn(&mut self) -> Vec<LimitWord> {
         let count = self.entries.len();
         let told = count.min(WORDS_PER_HEARTBEAT);
@@ -214,7 +215,7 @@
         words
     }
 
-    /// Forgets limits that are over for long, and those of servers that are not known any more.
+    /// Removes limits that ended long ago, and those of servers that are no longer known.
     pub fn on_tick(&mut self, is_known: impl Fn(u64) -> bool, now: Moment) {
         self.entries.retain(|server, entry| {
             let is_told = entry.word.rate.is_some() || now.since(entry.changed) <= OVER_TOLD_MS;
@@ -242,7 +243,7 @@
 
     fn set(&mut self, version: u32, rate: Option<RequestRate>, now: Moment) {
         if let Some(before) = self.word.rate {
-            // Up to now rights came in as the limit was.
+            // Tokens up to now accrue at the previous limit.
             self.bucket.fill(&pace_of(before), now);
         } else {
             self.spell = self.spell.wrapping_add(1);
@@ -259,8 +260,8 @@
         self.word.rate.map(|_| LimitSpell(self.spell))
     }
 
-    /// Those that are denied a right are told moments one right apart, so that many hosts which want few rights
-    /// do not all ask for each.
+    /// Denials report times that are one token apart, so that many hosts that each want few tokens
+    /// do not all ask for every token.
     fn grant(&mut self, pace: &BucketPace, now: Moment) -> RightVerdict {
         self.bucket.fill(pace, now);
         if self.bucket.take(1.0) {
@@ -268,7 +269,7 @@
         }
         let gap_ms = (1_000.0 / pace.per_s).min(LONGEST_WAIT_MS as f64);
         let missing_ms = (1.0 - self.bucket.rights()) * gap_ms;
-        // At most the longest wait each, by the lines around.
+        // Each value is at most the longest wait, by the lines around.
         let next = now.plus(missing_ms.ceil() as u64);
         let room = next.max(self.promised.plus(gap_ms as u64));
         let room = room.min(now.plus(LONGEST_WAIT_MS));
@@ -279,8 +280,8 @@
     }
 }
 
-/// How rights come in: as fast as the server takes requests, and it may get those of half a second and one more
-/// together.
+/// The bucket configuration for a limit: refills at the rate that the server takes, and holds one
+/// token plus those of half a second.
 fn pace_of(rate: RequestRate) -> BucketPace {
     let per_s = rate.per_s().max(LEAST_PER_S);
     BucketPace {
