--- a/src/entry/pending_answers.rs
+++ b/src/entry/pending_answers.rs
@@ -1,20 +1,20 @@
-//! Questions to other hosts by datagram whose answers are still to come.
+//! Pending requests to other hosts by datagram, and the delivery of their answers.
 
 use std::{cell, time};
 
 use tokio::sync::oneshot;
 
-/// The questions of one kind that this host has asked.
+/// The pending requests of one kind.
 #[derive(Debug)]
 pub(super) struct PendingAnswers<T> {
     waiting: cell::RefCell<rustc_hash::FxHashMap<u64, oneshot::Sender<T>>>,
     next_id: cell::Cell<u64>,
 }
 
-/// A question, and the way in which its answer comes.
+/// A pending request and the channel for its answer.
 #[derive(Debug)]
 pub(super) struct OpenQuestion<T> {
-    /// Tells its answer apart.
+    /// Matches the answer to the request.
     pub(super) id: u64,
     answer: oneshot::Receiver<T>,
 }
@@ -29,7 +29,7 @@
 }
 
 impl<T> PendingAnswers<T> {
-    /// An identity for one question, and its answer.
+    /// Registers a request under a new identity.
     pub(super) fn open(&self) -> OpenQuestion<T> {
         let id = self.next_id.get() + 1;
         self.next_id.set(id);
@@ -38,16 +38,16 @@
         OpenQuestion { id, answer }
     }
 
-    /// The answer to a question has come.
+    /// Delivers the answer to a request.
     pub(super) fn on_answer(&self, id: u64, answer: T) {
         let waiting = self.waiting.borrow_mut().remove(&id);
         if let Some(waiting) = waiting {
-            // Who asked may have given up.
+            // The requester may have given up.
             let _given_up = waiting.send(answer);
         }
     }
 
-    /// Waits for the answer to `question`; `None` when it does not come within `wait`.
+    /// Waits for the answer to `question`; `None` if it does not come within `wait`.
     pub(super) async fn wait_for(
         &self,
         mut question: OpenQuestion<T>,
@@ -56,7 +56,8 @@
         let answer = match tokio::time::timeout(wait, &mut question.answer).await {
             Ok(answer) => answer.ok(),
             Err(_elapsed) => {
-                // Where this host itself had no turn, the answer lies in the socket's queue: others go first.
+                // If this process was stalled, the answer may still be in the socket's queue:
+                // yields once so that it can be read.
                 tokio::task::yield_now().await;
                 question.answer.try_recv().ok()
             }
@@ -65,7 +66,7 @@
         answer
     }
 
-    /// Forgets questions whose askers have gone.
+    /// Removes requests whose requesters have given up.
     pub(super) fn forget_abandoned(&self) {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, asker| !asker.is_closed());
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -1,5 +1,5 @@
-//! This host's part in keeping the limits that backend servers name: it joins the decisions of
-//! [`super::server_limit`] to sockets and clock.
+//! Connects the decisions of [`super::server_limit`], on the limits that backend servers advertise,
+//! to the sockets and the clock of this host.
 
 use std::{cell, net, time};
 
@@ -23,31 +23,31 @@
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
-/// The limits that servers name, and the questions for rights.
+/// The limits that servers advertise, and the pending token requests.
 #[derive(Debug, Default)]
 pub struct ServerLimitRole {
     table: cell::RefCell<ServerLimitTable>,
     questions: PendingAnswers<SendRightAnswer>,
 }
 
-/// What an answer says of its server's limit.
+/// What an answer advertises about its server's limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NamedInAnswer {
-    /// The limit.
+    /// The advertised limit.
     pub(super) named: NamedLimit,
-    /// The time of a limit in which its request was sent, as far as was known then.
+    /// The limit period in which the request was sent, as far as was known then.
     pub(super) sent_in: Option<LimitSpell>,
-    /// Whether the server certainly wrote it.
+    /// Whether the server itself certainly wrote it.
     pub(super) proves: bool,
 }
 
 impl ServerLimitRole {
-    /// All that is known of the limits.
+    /// All limits that are known.
     pub(super) fn table(&self) -> cell::Ref<'_, ServerLimitTable> {
         self.table.borrow()
     }
 
-    /// Servers that name a limit, as far as this host knows.
+    /// The number of servers that advertise a limit, as far as this host knows.
     pub(super) fn limited_count(&self) -> usize {
         self.table.borrow().limited_count()
     }
@@ -56,14 +56,14 @@
         self.table.borrow_mut().on_other_keeper(server);
     }
 
-    /// What the next heartbeat tells.
+    /// The updates for the next heartbeat.
     pub(super) fn words_in_turn(&self) -> Vec<LimitWord> {
         self.table.borrow_mut().words_in_turn()
     }
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// An answer of `server` has come.
+    /// Handles what an answer of `server` advertises.
     pub(super) fn on_named_limit(&self, server: &FleetServer, answer: &NamedInAnswer) {
         let change = self.server_limits.table.borrow_mut().on_answer(
             server.start_hash,
@@ -91,8 +91,8 @@
         self.note(event, fields);
     }
 
-    /// Finds the right to send one request to `server`. Where there is none, the next choices pass the server over
-    /// until one may be had.
+    /// Acquires a token to send one request to `server`. If there is none, the server is skipped in
+    /// later choices until a token can be expected.
     pub(super) async fn find_send_right(&self, server: &FleetServer) -> Option<SendRight> {
         let word = self.server_limits.table.borrow().word_of(server.start_hash);
         let Some(word) = word else {
@@ -120,7 +120,7 @@
         None
     }
 
-    /// Whether `right` allows to send one request to `server` now.
+    /// Whether `right` permits sending one request to `server` now.
     pub(super) fn is_right_good(&self, server: &FleetServer, right: SendRight) -> bool {
         let limits = self.server_limits.table.borrow();
         let is_limited = limits.rate_of(server.start_hash).is_some();
@@ -176,8 +176,8 @@
         peers.limit_keeper(&query, self.now())
     }
 
-    /// Gives out a right as the keeper. A host that has not met the others of its region is none: it might take itself
-    /// for the keeper of every server.
+    /// Grants a token as the limit owner. A host that has not yet seen the other hosts of its
+    /// region grants none: it might take itself for the owner of every server's limit.
     fn grant_send(&self, server: &FleetServer) -> RightVerdict {
         if !self.has_met_region() {
             return RightVerdict::NotHere;
@@ -186,7 +186,7 @@
         table.grant(server.start_hash, self.now())
     }
 
-    /// Takes in a word about a server that is known here; of others nothing can be asked.
+    /// Applies an update for a server that is known here; updates for unknown servers are ignored.
     fn on_limit_word(&self, word: &LimitWord, source: &str) {
         let server = self.fleet.borrow().of_start(word.server);
         let Some(server) = server else {
@@ -198,7 +198,7 @@
         self.note_limit(&server.id, change, source);
     }
 
-    /// Another host tells what it knows; what it lacks goes back.
+    /// Applies updates from another host and sends back the newer ones that it is missing.
     pub(super) fn on_limit_words(&self, words: &[LimitWord], source: Option<net::SocketAddr>) {
         for word in words {
             self.on_limit_word(word, "peer");
@@ -219,8 +219,9 @@
         }
     }
 
-    /// Tells some hosts at once which limits began or ended; for whom it is news, they tell it on. A hall whose
-    /// servers all name limits costs each host a datagram for each of its targets, not one for each server.
+    /// Sends the limits that began or ended to some hosts at once; those to which they are new
+    /// forward them. Even if all servers of a hall advertise limits, that costs each host one
+    /// datagram per target, not one per server.
     pub(super) fn on_limit_tick(&self) {
         self.server_limits.questions.forget_abandoned();
         let mut table = self.server_limits.table.borrow_mut();
@@ -240,10 +241,11 @@
         self.tell_limits(&news, &targets);
     }
 
-    /// A host asks for a right: this one gives it out as the keeper, or passes the question on once.
+    /// Handles a token request of another host: grants a token as the limit owner, or forwards the
+    /// request once.
     fn on_right_request(&self, request: &SendRightRequest, source: net::SocketAddr) {
         self.on_limit_word(&request.word, "peer");
-        // One that this host has not met is nobody's here.
+        // A server that is unknown here has no known limit owner.
         let server = self.fleet.borrow().of_start(request.word.server);
         let place = server
             .as_ref()
@@ -284,7 +286,7 @@
     }
 }
 
-/// Another host speaks of limits of servers.
+/// Handles a message of another host about limits of servers.
 pub(super) fn on_message<W: WireProtocol>(
     host: &EntryHost<W>,
     message: ServerLimitMessage,
