--- a/src/limit_experiment/customer.rs
+++ b/src/limit_experiment/customer.rs
@@ -1,4 +1,4 @@
-//! A customer of an experiment.
+//! A simulated customer.
 
 use std::collections::VecDeque;
 
@@ -11,20 +11,21 @@
 use crate::entry::limits::LimitBound;
 use crate::timer::Moment;
 
-/// One customer: what it sends, what it may, and what came of its requests.
+/// One customer: its load, its limit, and the counts of its requests.
 #[derive(Debug)]
 pub(super) struct SimCustomer {
     pub(super) name: u64,
     usual_per_s: f64,
     pub(super) press: f64,
-    /// When its next request comes, in milliseconds: many may come within one.
+    /// When its next request arrives, in milliseconds; fractional, as several may arrive within
+    /// one.
     next_ms: f64,
     pub(super) bound: LimitBound,
-    /// When its limit was lowered.
+    /// When its limit was last lowered, and the bound before that.
     lowered: Option<(Moment, LimitBound)>,
     admitted: Vec<Moment>,
     pub(super) count: CustomerCount,
-    /// What a limit kept in one place would have left.
+    /// The tokens left in a single bucket that sees all requests.
     ideal: f64,
     ideal_at: Moment,
 }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// When its next request comes, drawn from a Poisson process.
+    /// Samples the arrival of its next request from a Poisson process.
     pub(super) fn draw_next(&mut self, random: &mut SmallRng, now: Moment) -> Moment {
         let drawn: f64 = random.random_range(f64::EPSILON..1.0);
         let pace = self.usual_per_s * self.press;
@@ -55,7 +56,7 @@
         Moment(self.next_ms as u64)
     }
 
-    /// Counts a request, and whether a limit kept in one place would let it through.
+    /// Counts a request, and whether a single bucket that sees all requests would let it through.
     pub(super) fn on_arrival(&mut self, now: Moment) {
         let limit = self.bound.limit;
         let came = limit.per_s * now.since(self.ideal_at) as f64 / 1_000.0;
@@ -74,7 +75,7 @@
     }
 
     pub(super) fn lower(&mut self, factor: f64, now: Moment) {
-        // Where it was lowered just before, that limit does not bind yet.
+        // If the limit was lowered shortly before, the bound before that one still applies.
         let window_ms = (self.bound.tolerance.window_s * 1_000.0) as u64;
         let before = match self.lowered {
             Some((since, before)) if now.since(since) < 2 * window_ms => before,
@@ -97,7 +98,7 @@
             {
                 window.pop_front();
             }
-            // A lowered limit binds a window after it came.
+            // A lowered limit applies to windows that begin a full window after the change.
             let bound = match self.lowered {
                 Some((since, before)) if at.since(since) < 2 * window_ms => before,
                 _ => self.bound,
--- a/src/limit_experiment/faults.rs
+++ b/src/limit_experiment/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in an experiment.
+//! Injects the faults of an experiment.
 
 use rand::Rng as _;
 
@@ -6,7 +6,8 @@
 use super::ways::LimitWay;
 use super::world::{LimitWorld, WorldEvent};
 
-/// A killed host is back after this time at least, in milliseconds: within the lease of its former run.
+/// Minimum downtime of a killed host, in milliseconds: it restarts within the lease of its previous
+/// run.
 const DOWN_MS: u64 = 200;
 
 impl<W: LimitWay> LimitWorld<'_, W> {
--- a/src/limit_experiment/fixed_parts.rs
+++ b/src/limit_experiment/fixed_parts.rs
@@ -1,4 +1,5 @@
-//! Limits kept by fixed parts alone: what this host has left of its part of each customer's limit.
+//! Enforces limits by fixed shares alone: tracks what this host has left of its share of each
+//! customer's limit.
 
 use super::fixed_share::{self, HostShare};
 use crate::entry::hash;
@@ -6,18 +7,18 @@
 use crate::entry::limits::bucket::TokenBucket;
 use crate::timer::Moment;
 
-/// Of what its bucket holds at most, a process starts with this share: several lives of a host
-/// within one window must not add up to more than its part.
+/// The share of its bucket capacity that a process starts with: several starts of a host within one
+/// window must not add up to more than its share.
 const START_SHARE: f64 = 0.5;
 
-/// Whether a request may go on.
+/// Whether a request may be let through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FixedVerdict {
-    /// It may.
+    /// The request may be let through.
     Admitted,
-    /// It would go beyond the customer's limit.
+    /// The request would exceed the customer's limit.
     Refused {
-        /// When there is room for one more, in milliseconds.
+        /// When a token will be available, in milliseconds.
         room_in_ms: u64,
     },
 }
@@ -29,7 +30,7 @@
 }
 
 impl FixedParts {
-    /// Lets one request of `customer` through if this host's part has room.
+    /// Lets one request of `customer` through if this host's share has a token left.
     pub fn admit(
         &mut self,
         customer: &str,
--- a/src/limit_experiment/fixed_share.rs
+++ b/src/limit_experiment/fixed_share.rs
@@ -1,26 +1,26 @@
-//! Fixed parts of a limit: each host lets through its own part of a limit and needs no word of any other.
+//! Fixed shares of a limit: each host uses its own share and needs no messages from other hosts.
 
 use crate::entry::hash;
 use crate::entry::limits::LimitBound;
 use crate::entry::limits::bucket::BucketPace;
 
-/// Where this host stands among all.
+/// The hosts that share a limit, as one of them knows them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostShare<'a> {
-    /// All hosts; counting too many makes a part smaller, which is safe.
+    /// The number of all hosts; too high a number makes the shares smaller, which is safe.
     pub hosts: u32,
     /// A hash of this host's name.
     pub own_hash: u64,
-    /// Hashes of the names of all others, as far as they are known.
+    /// Hashes of the names of all other known hosts.
     pub other_hashes: &'a [u64],
 }
 
-/// The part of `bound` that is this host's, for the customer with this hash.
+/// This host's share of `bound`, for the customer with this hash.
 ///
-/// The paces of all hosts sum up to the limit's, and what their buckets hold at most to what the
-/// bound leaves beside, so any window holds no more than the bound allows. Where that is less than
-/// one right a host, as many hosts as there are rights get one each, the first by a hash of host and
-/// customer, so that the parts of small customers are not all too small for one request.
+/// The rates of all hosts sum up to the limit's, and their bucket capacities to what the bound
+/// leaves in addition, so no window exceeds the bound. If that leaves less than one token per host,
+/// as many hosts as there are tokens get one each, the first by a hash of host and customer.
+/// Otherwise the shares of a small customer would all be too small for one request.
 #[must_use]
 pub fn own_part(bound: &LimitBound, share: &HostShare<'_>, customer: u64) -> BucketPace {
     let per_s = bound.limit.per_s;
--- a/src/limit_experiment/mod.rs
+++ b/src/limit_experiment/mod.rs
@@ -1,7 +1,9 @@
-//! Plays the limits of customers over many hosts, without sockets and clocks: the same requests and
-//! faults under each [`ways`] of keeping a limit, and what each let through and refused.
+//! Simulates limits of customers over many hosts, without sockets and clocks: runs the same
+//! requests and faults under each strategy of [`ways`], and reports what each one let through and
+//! refused.
 //!
-//! [`scenario`] says what happens, [`world`] plays it, [`report`] sums up, [`plot`] draws.
+//! [`scenario`] describes the load and faults, [`world`] runs the simulation, [`report`] summarizes
+//! it, [`plot`] draws it.
 
 mod customer;
 mod faults;
--- a/src/limit_experiment/plot.rs
+++ b/src/limit_experiment/plot.rs
@@ -1,4 +1,4 @@
-//! Each customer's fullest window against what its bound allows, as a picture.
+//! Chart of each customer's fullest window relative to what its bound allows.
 
 use std::path;
 
@@ -6,9 +6,10 @@
 use crate::error::Result;
 use crate::line_chart::{ChartCurve, LineChart};
 
-/// Draws the reports of several ways into an SVG file.
+/// Draws the reports of several strategies into an SVG file.
 ///
 /// # Errors
+///
 /// `FileUnwritable` when the file cannot be written.
 pub fn write_svg(reports: &[LimitReport], file: &path::Path) -> Result<()> {
     let chart = LineChart {
--- a/src/limit_experiment/report.rs
+++ b/src/limit_experiment/report.rs
@@ -1,4 +1,4 @@
-//! What came of an experiment.
+//! The results of an experiment.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 pub struct CustomerCount {
     /// Requests that it sent.
     pub sent: u64,
-    /// Those that one place which saw all requests would have let through.
+    /// Requests that a single bucket that sees all requests would have let through.
     pub owed: u64,
-    /// Those that were let through.
+    /// Requests that were let through.
     pub admitted: u64,
-    /// Those that were refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// The fullest window, as a share of what the bound allows; above 1 breaks it.
+    /// The fullest window, as a share of what the bound allows; a value above 1 violates the bound.
     pub fullest: f64,
 }
 
@@ -25,31 +25,31 @@
     }
 }
 
-/// What came of one play under one way.
+/// The result of one simulation run under one strategy.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct LimitReport {
-    /// The way.
+    /// The name of the strategy.
     pub way: &'static str,
     /// Requests of all customers.
     pub sent: u64,
-    /// Those that one place which saw all requests would have let through.
+    /// Requests that a single bucket that sees all requests would have let through.
     pub owed: u64,
-    /// Of these, the share that was refused.
+    /// The share of these that was refused.
     pub refused_below: f64,
-    /// Customers of which some window held more than the bound allows.
+    /// The number of customers with a window that exceeds the bound.
     pub broken: usize,
     /// The fullest window of any customer, as a share of what its bound allows.
     pub fullest: f64,
-    /// Bytes that a host sent about limits, a second.
+    /// Bytes that a host sent about limits, per second.
     pub bytes_per_s: f64,
-    /// Messages that a host sent about limits, a second.
+    /// Messages that a host sent about limits, per second.
     pub messages_per_s: f64,
-    /// Customer by customer, the largest first.
+    /// The counts of each customer, the largest customer first.
     pub customers: Vec<CustomerCount>,
 }
 
 impl LimitReport {
-    /// Sums up.
+    /// Sums up the counts of all customers.
     #[must_use]
     pub fn from_counts(
         way: &'static str,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Writes the table of several reports.
+/// Formats several reports as a Markdown table.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportTable<'a>(pub &'a [LimitReport]);
 
--- a/src/limit_experiment/scenario.rs
+++ b/src/limit_experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in an experiment: hosts, customers, load and faults.
+//! The input of an experiment: hosts, customers, load and faults.
 
 use std::path;
 
@@ -12,77 +12,79 @@
 /// An experiment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitScenario {
-    /// Entry hosts.
+    /// The number of entry hosts.
     pub hosts: u32,
-    /// Regions, among which the hosts are dealt out.
+    /// The number of regions that the hosts are distributed over.
     pub regions: u32,
-    /// Customers; the second has half of the first's requests, the third a third.
+    /// The number of customers; the second sends half as many requests as the first, the third a
+    /// third.
     pub customers: u32,
-    /// Requests of all customers together, a second.
+    /// Requests of all customers together, per second.
     pub requests_per_s: f64,
-    /// A customer's limit, as a multiple of what it usually sends.
+    /// A customer's limit, as a multiple of its usual load.
     pub limit_factor: f64,
-    /// How far the count of all hosts may go beyond a limit.
+    /// How far the count of all hosts may exceed a limit.
     pub tolerance: LimitTolerance,
-    /// How long it is played, in milliseconds.
+    /// The simulated time, in milliseconds.
     pub length_ms: u64,
-    /// One way between hosts of a region, in milliseconds.
+    /// Network latency between hosts of one region, one way, in milliseconds.
     pub near_ms: u64,
-    /// One way between hosts of different regions, in milliseconds.
+    /// Network latency between hosts of different regions, one way, in milliseconds.
     pub far_ms: u64,
-    /// The share of datagrams that is lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// What goes wrong.
+    /// The injected faults.
     pub faults: Vec<LimitFault>,
 }
 
-/// One thing that goes wrong.
+/// One injected fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitFault {
     /// When it begins, in milliseconds.
     pub at_ms: u64,
     /// How long it lasts, in milliseconds.
     pub for_ms: u64,
-    /// What it is.
+    /// The kind of fault.
     pub kind: LimitFaultKind,
 }
 
-/// What goes wrong.
+/// The kinds of injected faults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitFaultKind {
-    /// A customer sends a multiple of what is usual.
+    /// A customer sends a multiple of its usual load.
     Press {
-        /// Its number, 0 for the largest.
+        /// The customer's number, 0 for the largest.
         customer: u32,
         /// The multiple.
         factor: f64,
     },
-    /// A share of the hosts is killed, and starts again knowing nothing.
+    /// A share of the hosts is killed and restarts without state.
     Kill {
-        /// The share.
+        /// The share of hosts.
         share: f64,
     },
-    /// The hosts fall into parts that don't hear each other; their callers reach them still.
+    /// The hosts are split into partitions that cannot reach each other; callers still reach all of
+    /// them.
     Cut {
-        /// How many.
+        /// The number of partitions.
         parts: u32,
     },
-    /// All callers go to one region.
+    /// All callers send to one region.
     Gather {
-        /// Its number.
+        /// The region's number.
         region: u32,
     },
-    /// A customer's limit is lowered, for good.
+    /// A customer's limit is lowered permanently.
     Lower {
-        /// Its number.
+        /// The customer's number.
         customer: u32,
-        /// The new limit as a share of the former.
+        /// The new limit as a share of the previous one.
         factor: f64,
     },
 }
 
 impl LimitScenario {
-    /// The bound of a customer, by what it usually sends a second.
+    /// The bound of a customer with this usual load per second.
     #[must_use]
     pub fn bound(&self, usual_per_s: f64) -> LimitBound {
         let per_s = usual_per_s * self.limit_factor;
@@ -95,7 +97,7 @@
         }
     }
 
-    /// What each customer usually sends, a second.
+    /// The usual load of each customer, per second.
     #[must_use]
     pub fn usual_paces(&self) -> Vec<f64> {
         let weights = (0..self.customers).map(|number| 1.0 / f64::from(number + 1));
@@ -109,7 +111,8 @@
 /// Reads an experiment from a file: JSON with comments.
 ///
 /// # Errors
-/// `FileUnreadable`, or `Rejected` with every fault.
+///
+/// `FileUnreadable`, or `Rejected` with every error found.
 pub fn from_file(file: &path::Path) -> error::Result<LimitScenario> {
     from_source(&source::SourceText::from_file(file)?)
 }
@@ -117,7 +120,8 @@
 /// Reads an experiment from text.
 ///
 /// # Errors
-/// `Rejected` with every fault.
+///
+/// `Rejected` with every error found.
 pub fn from_source(text: &source::SourceText) -> error::Result<LimitScenario> {
     object_reader::read_whole(text, read_scenario)
 }
--- a/src/limit_experiment/ways/counts.rs
+++ b/src/limit_experiment/ways/counts.rs
@@ -1,4 +1,4 @@
-//! Counts told: a host lets through until the sum of what all told reaches the limit.
+//! Broadcast counts: a host admits requests until the sum of all reported counts reaches the limit.
 
 use std::collections;
 
@@ -6,14 +6,15 @@
 use crate::entry::limits::LimitBound;
 use crate::timer::Moment;
 
-/// What a host let through in one round.
+/// The requests that a host let through in one round.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct CountNews {
     counts: Vec<(u64, u32)>,
 }
 
-/// Every host tells all others what it let through; each lets through until the sum that it knows
-/// reaches the limit. One that has not heard from some lets through its share only.
+/// Every host reports to all others what it let through; each one admits requests until the sum
+/// that it knows reaches the limit. A host that is missing reports of others uses a correspondingly
+/// smaller share.
 #[derive(Debug)]
 pub struct CountsWay {
     own: usize,
@@ -23,7 +24,7 @@
 }
 
 impl CountsWay {
-    /// Others count as heard for this long, in milliseconds.
+    /// A host counts as alive for this long after its last report, in milliseconds.
     const HEARD_MS: u64 = 1_000;
 
     fn add(&mut self, customer: u64, count: u32, now: Moment) {
--- a/src/limit_experiment/ways/fixed.rs
+++ b/src/limit_experiment/ways/fixed.rs
@@ -1,4 +1,4 @@
-//! Fixed parts: no host says anything to another.
+//! Fixed shares: hosts send no messages to each other.
 
 use super::{HostView, LimitWay, SentMessage, SimDecision, SimRequest};
 use crate::entry::hash;
@@ -6,7 +6,7 @@
 use crate::limit_experiment::fixed_share::HostShare;
 use crate::timer::Moment;
 
-/// Each host goes by its own part alone.
+/// Each host uses its own share alone.
 #[derive(Debug)]
 pub struct FixedWay {
     parts: FixedParts,
--- a/src/limit_experiment/ways/mod.rs
+++ b/src/limit_experiment/ways/mod.rs
@@ -1,4 +1,4 @@
-//! The ways to keep a limit that are compared. Each is a state machine for one host.
+//! The limit strategies that are compared. Each one is a state machine for a single host.
 
 mod counts;
 mod fixed;
@@ -11,16 +11,16 @@
 use crate::entry::limits::LimitBound;
 use crate::timer::Moment;
 
-/// What a host knows of the others.
+/// What a host knows of the other hosts.
 #[derive(Debug, Clone)]
 pub struct HostView {
-    /// Its number.
+    /// This host's number.
     pub own: usize,
-    /// All hosts that limits are divided by.
+    /// The number of hosts that limits are divided by.
     pub hosts: u32,
     /// The region of each host.
     pub regions: Vec<usize>,
-    /// Whether each lives, as far as this one knows.
+    /// Whether each host is alive, as far as this one knows.
     pub lives: Vec<bool>,
 }
 
@@ -46,7 +46,7 @@
 /// A request at a host.
 #[derive(Debug, Clone, Copy)]
 pub struct SimRequest {
-    /// Tells it apart.
+    /// Identifies the request.
     pub id: u64,
     /// A hash of its customer's name.
     pub customer: u64,
@@ -54,29 +54,29 @@
     pub bound: LimitBound,
 }
 
-/// What a host does about a request.
+/// A host's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SimDecision {
-    /// It lets it through.
+    /// Let it through.
     Admit,
-    /// It refuses it.
+    /// Refuse it.
     Refuse,
-    /// It waits for an answer, and until then at most so long, in milliseconds.
+    /// Wait for an answer, for at most this many milliseconds.
     Wait(u64),
 }
 
-/// A message on its way.
+/// An outgoing message.
 #[derive(Debug, Clone)]
 pub struct SentMessage<M> {
-    /// The host that gets it.
+    /// The receiving host.
     pub to: usize,
     /// The message.
     pub message: M,
 }
 
-/// One way to keep limits, as one host does it.
+/// A strategy to enforce limits, as one host runs it.
 pub trait LimitWay {
-    /// What hosts say to each other.
+    /// A message between hosts.
     type Message: Clone + serde::Serialize;
 
     /// The name in tables.
@@ -85,7 +85,7 @@
     /// A host that has just started.
     fn start(own: usize, run: u64, now: Moment) -> Self;
 
-    /// A request has come.
+    /// Handles a new request.
     fn on_request(
         &mut self,
         request: &SimRequest,
@@ -94,7 +94,7 @@
         out: &mut Vec<SentMessage<Self::Message>>,
     ) -> SimDecision;
 
-    /// A round is due.
+    /// Runs the periodic work of a round.
     fn on_round(
         &mut self,
         _view: &HostView,
@@ -103,7 +103,7 @@
     ) {
     }
 
-    /// A message has come; returns the request that it decides.
+    /// Handles a message; returns the request that it decides, and the decision.
     fn on_message(
         &mut self,
         _from: usize,
@@ -115,7 +115,7 @@
         None
     }
 
-    /// A request has waited as long as it was told to.
+    /// Handles the timeout of a request that was waiting.
     fn on_waited(
         &mut self,
         _request: &SimRequest,
@@ -126,9 +126,9 @@
     }
 }
 
-/// The size of a message in the form that hosts speak, with the headers of its datagram, in bytes.
+/// The size of an encoded message including the headers of its datagram, in bytes.
 pub(super) fn encoded_size(message: &impl serde::Serialize) -> usize {
     const HEADERS: usize = 28;
-    // A message that cannot be written is not sent.
+    // A message that cannot be encoded is not sent.
     postcard::to_stdvec(message).map_or(0, |bytes| bytes.len() + HEADERS)
 }
--- a/src/limit_experiment/ways/pooled.rs
+++ b/src/limit_experiment/ways/pooled.rs
@@ -1,4 +1,4 @@
-//! Rights that move: the state machines of the entry host, joined by the simulated network.
+//! Pooled tokens: the state machines of the entry host, connected by the simulated network.
 
 use std::collections;
 
@@ -9,7 +9,7 @@
 use crate::entry::limits::{self, FAR_WAIT_MS, GROUPS, LimitBound, NEAR_WAIT_MS};
 use crate::timer::Moment;
 
-/// Rights that move: parts are lent to grantors, which hand single rights out.
+/// Shares are leased to coordinators, which grant single tokens.
 #[derive(Debug)]
 pub struct PooledWay {
     own: usize,
--- a/src/limit_experiment/world.rs
+++ b/src/limit_experiment/world.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario under one way to keep limits.
+//! Event-driven simulation of a scenario under one limit strategy.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,12 +13,12 @@
 use crate::entry::limits::ROUND_MS;
 use crate::timer::Moment;
 
-/// A host that fell silent counts as living for this long with the others, in milliseconds.
+/// How long the other hosts take a host that stopped answering for alive, in milliseconds.
 const NOTICED_MS: u64 = 2_500;
-/// A host that starts is met by the others after this time, in milliseconds.
+/// How long the other hosts take to see a started host, in milliseconds.
 const MET_MS: u64 = 300;
 
-/// What happens at a moment.
+/// An event of the simulation.
 #[derive(Debug, Clone)]
 pub(super) enum WorldEvent<M> {
     Arrive { customer: usize },
@@ -30,7 +30,7 @@
     Start { host: usize },
 }
 
-/// One host.
+/// The state of one simulated host.
 #[derive(Debug)]
 pub(super) struct SimHost<W> {
     pub(super) way: W,
@@ -40,7 +40,7 @@
     pub(super) waiting: HashMap<u64, (SimRequest, usize, u64)>,
 }
 
-/// One play.
+/// One simulation run.
 pub struct LimitWorld<'a, W: LimitWay> {
     pub(super) scenario: &'a LimitScenario,
     pub(super) now: Moment,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Plays `scenario` with the luck of `seed`.
+/// Simulates `scenario` with random numbers from `seed`.
 #[must_use]
 pub fn play<W: LimitWay>(scenario: &LimitScenario, seed: u64) -> LimitReport {
     let mut world = LimitWorld::<W>::begin(scenario, seed);
@@ -272,7 +272,7 @@
                 (false, true) => self.scenario.near_ms,
                 (false, false) => self.scenario.far_ms,
             };
-            // Datagrams overtake each other now and then.
+            // Some datagrams arrive out of order.
             let late_ms = if self.random.random_bool(0.02) {
                 self.random.random_range(0..=300)
             } else {
