--- a/tests/entry_grantors.rs
+++ b/tests/entry_grantors.rs
@@ -1,4 +1,5 @@
-//! Which hosts pool the limits of customers, and by how many hosts limits are divided.
+//! Selection of the coordinators that pool customer limits, and the number of hosts that limits are
+//! divided by.
 
 #[path = "common/peer_records.rs"]
 mod peer_records;
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -36,7 +36,8 @@
 proptest! {
     #![proptest_config(seeded::config())]
 
-    /// What all hosts may let through in any window, with full buckets at its begin, is within the bound.
+    /// Whatever all hosts let through in a window that starts with full buckets is within the
+    /// bound.
     #[test]
     fn fixed_parts_sum_up_to_no_more_than_the_bound(
         hosts in 1_u32..500,
@@ -57,10 +58,9 @@
     }
 }
 
-/// Two grantors deny, a third was not asked: the request is refused, to come back when the first of the two
-/// has room.
-/// While a grantor's machine is suspended the owner takes its part back. A clock that counts the time of the suspension
-/// shows that to the grantor as soon as it wakes, before it has heard anything.
+/// While a coordinator's machine is suspended, the owner of a leased share takes it back. A clock
+/// that includes the suspended time shows that to the coordinator as soon as it resumes, before it
+/// receives any message.
 #[test]
 fn a_grantor_that_was_suspended_grants_nothing_of_parts_that_went_back() {
     const SUSPENDED_MS: u64 = 3_000;
@@ -95,6 +95,8 @@
     );
 }
 
+/// Two coordinators deny and the third is not asked: the refusal reports the earlier of the two times
+/// at which a token is available.
 #[test]
 fn who_was_denied_is_told_when_there_is_room() {
     let bound = bound(50.0, 50.0);
@@ -112,7 +114,7 @@
     member.on_verdict("far", 7, denied(120), Moment(10));
     let refusal = RightStep::Refuse { room_in_ms: 120 };
     assert_eq!(next(&mut member, 2), refusal);
-    // The next request asks the one that was left out.
+    // The next request asks the coordinator that was not asked.
     assert_eq!(next(&mut member, 0), RightStep::Ask("other".to_owned()));
 }
 
@@ -158,8 +160,8 @@
 proptest! {
     #![proptest_config(seeded::config())]
 
-    /// What the pace of a limit lets in, and what may be held, with two starts of each host, fill no window beyond
-    /// the bound.
+    /// The tokens that accrue in a window, plus the bucket capacity and two starts of each host,
+    /// stay within the bound.
     #[test]
     fn the_pace_of_a_limit_fits_into_its_bound(
         per_s in 0.01_f64..1_000.0,
@@ -172,7 +174,8 @@
             tolerance: LimitTolerance { window_s: 5.0, excess, slack },
         };
         let pace = bound.pace();
-        // The life of a right beside the window, and a quarter of what may be held for each start.
+        // The token lifetime in addition to the window, and a quarter of the capacity for each
+        // start.
         let most = pace.per_s * 5.25 + pace.most * 1.5;
         prop_assert!(most <= bound.allowed() * (1.0 + 1e-9), "{most} of {}", bound.allowed());
         prop_assert!(pace.per_s > 0.0 && pace.most > 0.0);
--- a/tests/entry_server_limits.rs
+++ b/tests/entry_server_limits.rs
@@ -1,4 +1,5 @@
-//! What hosts know of the limits that backend servers name, and the rights that a keeper gives out.
+//! Advertised limits of backend servers as hosts know them, and the tokens that a limit owner
+//! grants.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -12,7 +13,7 @@
 use proptest::prelude::*;
 
 const SERVER: u64 = 7;
-/// The time over which a server's requests are counted, in milliseconds.
+/// The window over which a server's requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
 fn rate(text: &str) -> RequestRate {
@@ -23,7 +24,7 @@
     NamedLimit::Rate(rate(text))
 }
 
-/// A host that has heard of `text` at the moment 0.
+/// A table that learned the limit `text` from an answer at time 0.
 fn told(text: &str) -> ServerLimitTable {
     let mut table = ServerLimitTable::default();
     let change = table.on_answer(SERVER, named(text), None, true, Moment(0));
@@ -31,7 +32,7 @@
     table
 }
 
-/// What the server gets in any four seconds: one and a half times what it names, and five.
+/// The maximum number of requests in a window: 1.5 times the advertised rate, and 5 more.
 fn allowed(per_s: f64) -> usize {
     (1.5 * per_s * 4.0 + 5.0).floor() as usize
 }
@@ -58,7 +59,8 @@
     assert_eq!(table.rate_of(SERVER), Some(rate("2")));
 }
 
-/// An answer that left before the server named its limit may come after one that names it.
+/// An answer that left the server before it advertised a limit may arrive after one that advertises
+/// it.
 #[test]
 fn only_an_answer_to_a_request_sent_within_the_limit_ends_it() {
     let mut table = ServerLimitTable::default();
@@ -70,7 +72,7 @@
     assert_eq!(answer(before, true), LimitChange::None);
     assert_eq!(answer(within, false), LimitChange::None);
     assert_eq!(answer(within, true), LimitChange::Ended);
-    // The next limit is another one: the same answer, told twice or late, does not end it.
+    // The next limit is another period: the same answer, repeated or late, does not end it.
     table.on_answer(SERVER, named("1"), None, true, Moment(2));
     let change = table.on_answer(SERVER, NamedLimit::Absent, within, true, Moment(3));
     assert_eq!(change, LimitChange::None);
@@ -128,12 +130,13 @@
     assert_eq!(over.len(), 1, "it is told on");
     table.on_tick(|_| true, Moment(11 + OVER_TOLD_MS));
     assert_eq!(table.words_in_turn(), Vec::new());
-    // Whoever still tells it does not bring it back.
+    // A host that still sends the update does not bring the limit back.
     assert_eq!(table.on_word(&over[0], Moment(70_000)), LimitChange::None);
     assert_eq!(table.words_in_turn(), Vec::new());
 }
 
-/// Two hosts that take themselves for the keeper for a moment give out little more than one.
+/// Two hosts that both take themselves for the limit owner for a moment must grant little more than
+/// one would.
 #[test]
 fn a_host_that_has_just_become_the_keeper_holds_no_rights() {
     let mut table = told("2");
@@ -152,7 +155,7 @@
     assert!((9..=11).contains(&granted.len()), "{granted:?}");
 }
 
-/// Hundreds of hosts that want one right a second do not all ask for each.
+/// Hundreds of hosts that each want one token a second must not all ask for every token.
 #[test]
 fn those_that_are_denied_come_back_one_after_the_other() {
     let mut table = told("4");
@@ -169,7 +172,8 @@
 proptest! {
     #![proptest_config(seeded::config())]
 
-    /// However often hosts ask, and however the limit moves below its highest, no four seconds hold more.
+    /// No window exceeds the bound, however often hosts ask and however the limit changes below its
+    /// maximum.
     #[test]
     fn a_keeper_never_gives_out_more_than_the_server_may_get(
         limits in prop::collection::vec(0_u32..200, 1..6),
--- a/tests/limit_experiment.rs
+++ b/tests/limit_experiment.rs
@@ -1,4 +1,4 @@
-//! The bound of limits over all hosts, under random faults, and what each way refuses.
+//! The bound on limits over all hosts under random faults, and what each strategy refuses.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -51,7 +51,7 @@
     (0_u64..12_000, 0_u64..8_000, kind).prop_map(|(at_ms, for_ms, kind)| fault(at_ms, for_ms, kind))
 }
 
-/// Cases of the property test: `PROPTEST_CASES` for long runs by hand.
+/// Number of cases of the property test; `PROPTEST_CASES` overrides it for long manual runs.
 fn cases() -> u32 {
     const USUAL: u32 = 64;
     let told = std::env::var("PROPTEST_CASES").ok();
@@ -64,7 +64,7 @@
         ..seeded::config()
     })]
 
-    /// Whatever is cut, killed, late or lost, no window holds more than the bound allows.
+    /// No window exceeds the bound, whatever is partitioned, killed, delayed or lost.
     #[test]
     fn rights_that_move_stay_within_the_bound(
         hosts in 1_u32..40,
@@ -88,7 +88,8 @@
     ]
 }
 
-/// A customer reaches a host every few seconds, so that its parts are too small for single requests.
+/// Each customer reaches a host only every few seconds, so its fixed shares are too small for
+/// single requests.
 #[test]
 fn many_hosts_and_small_customers_are_refused_by_fixed_parts_and_served_by_pools() {
     let [fixed, _counts, pooled] = play_all(&scenario(67, 76, Vec::new()));
@@ -101,7 +102,7 @@
     );
 }
 
-/// One customer sends eight times its usual; the hosts fall into two parts meanwhile.
+/// One customer sends 30 times its usual load while the hosts are split into two partitions.
 #[test]
 fn a_pressing_customer_breaks_the_bound_where_counts_are_told_and_not_where_rights_move() {
     let press = LimitFaultKind::Press {
