--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -345,7 +345,7 @@
     let multiple = server.pace(query.now);
     let way_ms = query.distances.way_ms(&server.region, query.region);
     // The keeper of its limit stands in its region and is asked first.
-    let is_limited = query.limits.word_of(server.start_hash).is_some();
+    let is_limited = query.limits.update_of(server.start_hash).is_some();
     let ways = if is_limited { 2.0 } else { 1.0 };
     ExpectedAnswer {
         place,
--- a/src/entry/limit_role/lending.rs
+++ b/src/entry/limit_role/lending.rs
@@ -13,10 +13,10 @@
 
 /// Starts the task that runs the lease rounds of this host.
 pub(in crate::entry) fn spawn<W: WireProtocol>(host: &rc::Rc<EntryHost<W>>) {
-    tokio::task::spawn_local(lend_in_rounds(rc::Rc::clone(host)));
+    tokio::task::spawn_local(run_lease_rounds(rc::Rc::clone(host)));
 }
 
-async fn lend_in_rounds<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
+async fn run_lease_rounds<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
     let mut rounds = tokio::time::interval(time::Duration::from_millis(ROUND_MS));
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -24,34 +24,34 @@
             host.limits.configured.notified().await;
         }
         rounds.tick().await;
-        host.lend_parts();
+        host.run_lease_round();
     }
 }
 
 impl<W: WireProtocol> EntryHost<W> {
     /// Runs one round: looks up the coordinators again and offers this host's shares to them.
-    pub(super) fn lend_parts(&self) {
-        self.limits.questions.forget_abandoned();
+    pub(super) fn run_lease_round(&self) {
+        self.limits.pending_requests.remove_abandoned();
         let now = self.now();
         let own_name = self.settings().name.clone();
         let own_region = self.settings().region.clone();
-        let places = self.grantor_places(&own_region);
-        let wanted: [Option<&str>; GROUPS] = std::array::from_fn(|group| {
-            let near = places[group].first().and_then(Option::as_ref);
-            near.map(|place| place.name.as_str())
+        let places = self.find_coordinators(&own_region);
+        let preferred: [Option<&str>; GROUPS] = std::array::from_fn(|group| {
+            let local = places[group].first().and_then(Option::as_ref);
+            local.map(|place| place.name.as_str())
         });
         let settings = self.settings();
         let regions = settings.halls.regions().into_iter();
         let hosts = self.peers.borrow().limit_hosts(&own_region, regions);
-        let offers = self.limits.member.borrow_mut().round(hosts, wanted, now);
-        self.learn_places(&places);
+        let offers = self.limits.member.borrow_mut().round(hosts, preferred, now);
+        self.update_coordinators(&places);
         for offer in offers {
             self.send_offer(&own_name, offer);
         }
     }
 
     /// The coordinators of each group: that of the own region first, then those of the others.
-    fn grantor_places(&self, own_region: &str) -> [Vec<Option<GrantorPlace>>; GROUPS] {
+    fn find_coordinators(&self, own_region: &str) -> [Vec<Option<GrantorPlace>>; GROUPS] {
         let now = self.now();
         let own = self.record();
         let own = (!self.is_leaving()).then_some(&own);
@@ -62,18 +62,18 @@
         let others = others.into_iter().filter(|region| *region != own_region);
         let regions: Vec<&str> = std::iter::once(own_region).chain(others).collect();
         std::array::from_fn(|group| {
-            let passes_over = |name: &str| member.passes_over(name, now);
+            let is_skipped = |name: &str| member.is_skipped(name, now);
             let place =
-                |region: &&str| peers.grantor_of(region, group as u64, own, passes_over, now);
+                |region: &&str| peers.grantor_of(region, group as u64, own, is_skipped, now);
             regions.iter().map(place).collect()
         })
     }
 
-    fn learn_places(&self, places: &[Vec<Option<GrantorPlace>>; GROUPS]) {
-        let mut lists = self.limits.lists.borrow_mut();
-        let mut known = self.limits.places.borrow_mut();
+    fn update_coordinators(&self, places: &[Vec<Option<GrantorPlace>>; GROUPS]) {
+        let mut coordinator_lists = self.limits.coordinator_lists.borrow_mut();
+        let mut known = self.limits.coordinator_addresses.borrow_mut();
         known.clear();
-        for (list, places) in lists.iter_mut().zip(places) {
+        for (list, places) in coordinator_lists.iter_mut().zip(places) {
             let places = places.iter().flatten();
             known.extend(
                 places
@@ -86,10 +86,15 @@
 
     fn send_offer(&self, own_name: &str, offer: AddressedOffer) {
         if offer.to == own_name {
-            self.lend_to_itself(offer.offer);
+            self.lease_to_self(offer.offer);
             return;
         }
-        let address = self.limits.places.borrow().get(&offer.to).copied();
+        let address = self
+            .limits
+            .coordinator_addresses
+            .borrow()
+            .get(&offer.to)
+            .copied();
         let address = address.or_else(|| self.peers.borrow().heartbeat_address(&offer.to));
         if let Some(address) = address {
             let message = LimitMessage::Offer(offer.offer);
@@ -98,7 +103,7 @@
     }
 
     /// This host is its own coordinator: passes the messages from one role to the other directly.
-    fn lend_to_itself(&self, offer: LeaseOffer) {
+    fn lease_to_self(&self, offer: LeaseOffer) {
         let now = self.now();
         let mut next = Some(offer);
         while let Some(offer) = next.take() {
@@ -106,7 +111,7 @@
                 return;
             };
             if reply.uses {
-                self.limits.lent.notify_waiters();
+                self.limits.lease_began.notify_waiters();
             }
             let answer = self.limits.member.borrow_mut().on_reply(&reply, now);
             next = answer.map(|next| next.offer);
--- a/src/entry/limit_role/messages.rs
+++ b/src/entry/limit_role/messages.rs
@@ -11,11 +11,13 @@
 
 impl<W: WireProtocol> EntryHost<W> {
     /// The address of the coordinator of a customer in this region, if that is another host.
-    fn near_grantor(&self, customer: u64) -> Option<net::SocketAddr> {
-        let lists = self.limits.lists.borrow();
-        let name = lists[limits::group_of(customer)].names.first()?;
-        let places = self.limits.places.borrow();
-        let address = places.get(name).copied();
+    fn local_coordinator(&self, customer: u64) -> Option<net::SocketAddr> {
+        let coordinator_lists = self.limits.coordinator_lists.borrow();
+        let name = coordinator_lists[limits::group_of(customer)]
+            .names
+            .first()?;
+        let coordinator_addresses = self.limits.coordinator_addresses.borrow();
+        let address = coordinator_addresses.get(name).copied();
         address.filter(|_| *name != self.settings().name)
     }
 
@@ -54,7 +56,7 @@
         LimitMessage::Reply(reply) => {
             let next = host.limits.member.borrow_mut().on_reply(&reply, now);
             if reply.uses {
-                host.limits.lent.notify_waiters();
+                host.limits.lease_began.notify_waiters();
             }
             if let Some(next) = next {
                 let message = LimitMessage::Offer(next.offer);
@@ -63,7 +65,9 @@
         }
         LimitMessage::Request(request) => on_request(host, request, source),
         LimitMessage::Answer(answer) => {
-            host.limits.questions.on_answer(answer.id, answer.verdict);
+            host.limits
+                .pending_requests
+                .on_answer(answer.id, answer.verdict);
         }
     }
 }
@@ -78,18 +82,18 @@
     source: net::SocketAddr,
 ) {
     let answer = host.answer_request(request);
-    let asker = request.reply_to.unwrap_or(source);
+    let requester = request.reply_to.unwrap_or(source);
     if answer.verdict == RightVerdict::NotHere
         && request.reply_to.is_none()
-        && let Some(grantor) = host.near_grantor(request.customer)
+        && let Some(grantor) = host.local_coordinator(request.customer)
     {
-        let passed_on = LimitMessage::Request(RightRequest {
+        let forwarded = LimitMessage::Request(RightRequest {
             reply_to: Some(source),
             ..request
         });
-        gossip::send(host, &PeerMessage::Limit(passed_on), &[grantor]);
+        gossip::send(host, &PeerMessage::Limit(forwarded), &[grantor]);
         return;
     }
     let message = LimitMessage::Answer(answer);
-    gossip::send(host, &PeerMessage::Limit(message), &[asker]);
+    gossip::send(host, &PeerMessage::Limit(message), &[requester]);
 }
--- a/src/entry/limit_role/mod.rs
+++ b/src/entry/limit_role/mod.rs
@@ -31,23 +31,23 @@
 
 /// Retry times are sampled between these multiples of the time until a token is available, so that
 /// requests that were refused together are not repeated together.
-const COME_BACK_SHARES: std::ops::Range<f64> = 1.0..2.0;
+const RETRY_AFTER_FACTORS: std::ops::Range<f64> = 1.0..2.0;
 /// The minimum retry time, in milliseconds: about the time in which other requests of a busy
 /// customer complete.
-const COME_BACK_MIN_MS: f64 = 50.0;
+const MIN_RETRY_AFTER_MS: f64 = 50.0;
 /// How long a host that has just started waits for its first lease: as long as for an answer.
-const FIRST_LEASE_WAIT: time::Duration = time::Duration::from_millis(NEAR_WAIT_MS);
+const FIRST_LEASE_TIMEOUT: time::Duration = time::Duration::from_millis(NEAR_WAIT_MS);
 
 /// This host's state as a member and coordinator of customer limits.
 #[derive(Debug)]
 pub struct LimitRole {
     member: cell::RefCell<LimitMember>,
     grantor: cell::RefCell<LimitGrantor>,
-    lists: cell::RefCell<[GrantorList; GROUPS]>,
-    places: cell::RefCell<collections::HashMap<String, net::SocketAddr>>,
-    questions: PendingAnswers<RightVerdict>,
+    coordinator_lists: cell::RefCell<[GrantorList; GROUPS]>,
+    coordinator_addresses: cell::RefCell<collections::HashMap<String, net::SocketAddr>>,
+    pending_requests: PendingAnswers<RightVerdict>,
     /// Notified when a coordinator uses a share of this host.
-    lent: Notify,
+    lease_began: Notify,
     /// Notified when a configuration, which may contain limits, is applied.
     configured: Notify,
 }
@@ -59,10 +59,10 @@
         Self {
             member: cell::RefCell::new(LimitMember::with_name(name, run)),
             grantor: cell::RefCell::new(LimitGrantor::with_name(name, run)),
-            lists: cell::RefCell::default(),
-            places: cell::RefCell::default(),
-            questions: PendingAnswers::default(),
-            lent: Notify::new(),
+            coordinator_lists: cell::RefCell::default(),
+            coordinator_addresses: cell::RefCell::default(),
+            pending_requests: PendingAnswers::default(),
+            lease_began: Notify::new(),
             configured: Notify::new(),
         }
     }
@@ -84,7 +84,7 @@
         let Some(bound) = self.limit_bound(customer) else {
             return Ok(());
         };
-        let result = self.find_right(customer, &bound).await;
+        let result = self.acquire_token(customer, &bound).await;
         let mut metrics = self.metrics.borrow_mut();
         match result {
             Ok(()) => metrics.within_limit += 1,
@@ -93,21 +93,21 @@
         result
     }
 
-    async fn find_right(
+    async fn acquire_token(
         &self,
         customer: &CustomerRule,
         bound: &LimitBound,
     ) -> Result<(), RequestFailure> {
         let name = hash::of_name(&customer.name);
         let group = limits::group_of(name);
-        self.wait_for_pool(group).await;
+        self.wait_for_first_lease(group).await;
         let mut trace = LimitTrace::default();
         loop {
             let asked = trace.asked();
             let step = {
-                let lists = self.limits.lists.borrow();
+                let coordinator_lists = self.limits.coordinator_lists.borrow();
                 let mut member = self.limits.member.borrow_mut();
-                member.next_step(name, bound, &lists[group], asked, self.now())
+                member.next_step(name, bound, &coordinator_lists[group], asked, self.now())
             };
             match step {
                 RightStep::Admit => return Ok(()),
@@ -116,7 +116,7 @@
                     return Err(self.over_limit(group, trace));
                 }
                 RightStep::Ask(grantor) => {
-                    let verdict = self.ask(&grantor, name, bound).await;
+                    let verdict = self.request_token(&grantor, name, bound).await;
                     if verdict == Some(RightVerdict::Granted) {
                         return Ok(());
                     }
@@ -129,28 +129,36 @@
     /// A host that has just started leases its share at once, and waits briefly for the lease: when
     /// hosts waited for their next round instead, 67 hosts that restarted together refused 1,140
     /// requests within 0.3 s.
-    async fn wait_for_pool(&self, group: usize) {
-        if !self.is_starting() || self.limits.member.borrow().was_lent(group) {
+    async fn wait_for_first_lease(&self, group: usize) {
+        if !self.is_starting() || self.limits.member.borrow().was_used(group) {
             return;
         }
-        if self.limits.lists.borrow()[group].names.is_empty() {
-            self.lend_parts();
+        if self.limits.coordinator_lists.borrow()[group]
+            .names
+            .is_empty()
+        {
+            self.run_lease_round();
         }
-        let lent = self.limits.lent.notified();
-        if self.limits.member.borrow().has_lent(group, self.now()) {
+        let lease_began = self.limits.lease_began.notified();
+        if self.limits.member.borrow().is_leased(group, self.now()) {
             return;
         }
         // If the lease did not begin, the coordinator's answer shows it.
-        let _elapsed = tokio::time::timeout(FIRST_LEASE_WAIT, lent).await;
+        let _elapsed = tokio::time::timeout(FIRST_LEASE_TIMEOUT, lease_began).await;
     }
 
     /// Asks a coordinator for a token; `None` if it does not answer in time.
-    async fn ask(&self, grantor: &str, customer: u64, bound: &LimitBound) -> Option<RightVerdict> {
+    async fn request_token(
+        &self,
+        grantor: &str,
+        customer: u64,
+        bound: &LimitBound,
+    ) -> Option<RightVerdict> {
         let verdict = if grantor == self.settings().name {
             let mut own = self.limits.grantor.borrow_mut();
             Some(own.grant(customer, bound, self.now()))
         } else {
-            self.ask_other(grantor, customer).await
+            self.request_token_from(grantor, customer).await
         };
         let mut member = self.limits.member.borrow_mut();
         match verdict {
@@ -160,32 +168,38 @@
         verdict
     }
 
-    async fn ask_other(&self, grantor: &str, customer: u64) -> Option<RightVerdict> {
-        let address = self.limits.places.borrow().get(grantor).copied()?;
-        let is_near = self.limits.lists.borrow()[limits::group_of(customer)].is_nearest(grantor);
+    async fn request_token_from(&self, grantor: &str, customer: u64) -> Option<RightVerdict> {
+        let address = self
+            .limits
+            .coordinator_addresses
+            .borrow()
+            .get(grantor)
+            .copied()?;
+        let is_near =
+            self.limits.coordinator_lists.borrow()[limits::group_of(customer)].is_nearest(grantor);
         let asked_at = self.now();
-        let question = self.limits.questions.open();
+        let pending = self.limits.pending_requests.register();
         let request = LimitMessage::Request(RightRequest {
-            id: question.id,
+            id: pending.id,
             customer,
             reply_to: None,
         });
         gossip::send(self, &PeerMessage::Limit(request), &[address]);
         let wait_ms = if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS };
         let wait = time::Duration::from_millis(wait_ms);
-        let verdict = self.limits.questions.wait_for(question, wait).await;
+        let verdict = self.limits.pending_requests.wait_for(pending, wait).await;
         let is_late = self.now().since(asked_at) > RIGHT_LIFE_MS;
         verdict.filter(|verdict| !is_late || *verdict != RightVerdict::Granted)
     }
 
     fn over_limit(&self, group: usize, trace: LimitTrace) -> RequestFailure {
         let now = self.now();
-        let spread = self.random.borrow_mut().random_range(COME_BACK_SHARES);
-        let millis = (trace.room_in_ms as f64 * spread).max(COME_BACK_MIN_MS);
+        let factor = self.random.borrow_mut().random_range(RETRY_AFTER_FACTORS);
+        let millis = (trace.room_in_ms as f64 * factor).max(MIN_RETRY_AFTER_MS);
         let member = self.limits.member.borrow();
         let trace = LimitTrace {
             hosts: member.hosts(),
-            lent: member.has_lent(group, now),
+            lent: member.is_leased(group, now),
             ..trace
         };
         // A float cast saturates, and the value is positive.
--- a/src/entry/limits/bucket.rs
+++ b/src/entry/limits/bucket.rs
@@ -31,22 +31,25 @@
 /// Holds tokens, which are added at a steady rate until the bucket is full.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
-    rights: f64,
-    at: Moment,
+    tokens: f64,
+    updated_at: Moment,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `rights` tokens at `now`.
+    /// A bucket that holds `tokens` tokens at `now`.
     #[must_use]
-    pub const fn with_rights(rights: f64, now: Moment) -> Self {
-        Self { rights, at: now }
+    pub const fn with_tokens(tokens: f64, now: Moment) -> Self {
+        Self {
+            tokens,
+            updated_at: now,
+        }
     }
 
     /// Adds the tokens that accrued up to `now`.
     pub fn fill(&mut self, pace: &BucketPace, now: Moment) {
-        let came = pace.per_s * now.since(self.at) as f64 / 1_000.0;
-        self.rights = (self.rights + came).min(pace.most);
-        self.at = self.at.max(now);
+        let accrued = pace.per_s * now.since(self.updated_at) as f64 / 1_000.0;
+        self.tokens = (self.tokens + accrued).min(pace.most);
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// Takes `count` tokens if the bucket holds that many.
@@ -55,28 +58,28 @@
     /// use ledgespool::entry::limits::bucket::{BucketPace, TokenBucket};
     /// use ledgespool::timer::Moment;
     /// let pace = BucketPace { per_s: 2.0, most: 1.0 };
-    /// let mut bucket = TokenBucket::with_rights(0.0, Moment(0));
+    /// let mut bucket = TokenBucket::with_tokens(0.0, Moment(0));
     /// bucket.fill(&pace, Moment(400));
     /// assert!(!bucket.take(1.0));
     /// bucket.fill(&pace, Moment(500));
     /// assert!(bucket.take(1.0));
     /// ```
     pub fn take(&mut self, count: f64) -> bool {
-        if self.rights < count {
+        if self.tokens < count {
             return false;
         }
-        self.rights -= count;
+        self.tokens -= count;
         true
     }
 
     /// Adds tokens, up to the capacity: returns unused ones, or takes in those from other hosts.
     pub fn put(&mut self, count: f64, pace: &BucketPace) {
-        self.rights = (self.rights + count).min(pace.most);
+        self.tokens = (self.tokens + count).min(pace.most);
     }
 
     /// The number of tokens held.
     #[must_use]
-    pub const fn rights(&self) -> f64 {
-        self.rights
+    pub const fn tokens(&self) -> f64 {
+        self.tokens
     }
 }
--- a/src/entry/limits/grantor.rs
+++ b/src/entry/limits/grantor.rs
@@ -11,7 +11,7 @@
 use crate::timer::Moment;
 
 /// Upper bound of the wait that a denial reports, in milliseconds.
-const LONGEST_WAIT_MS: f64 = 5_000.0;
+const MAX_WAIT_MS: f64 = 5_000.0;
 
 /// The pools of one host, one per group.
 #[derive(Debug)]
@@ -19,39 +19,39 @@
     name: String,
     run: u64,
     stopped: bool,
-    pools: [RightPool; GROUPS],
+    pools: [TokenPool; GROUPS],
 }
 
 /// The share that one member leases.
 #[derive(Debug, Clone, Copy)]
-struct LentPart {
+struct LeasedShare {
     run: u64,
     number: u64,
-    share: f64,
-    until: Moment,
+    fraction: f64,
+    expires_at: Moment,
 }
 
 /// The pooled shares and buckets for one group of customers.
 #[derive(Debug, Default)]
-struct RightPool {
-    parts: rustc_hash::FxHashMap<String, LentPart>,
+struct TokenPool {
+    shares: rustc_hash::FxHashMap<String, LeasedShare>,
     /// The sum of the shares in use.
-    share: f64,
+    total_share: f64,
     /// The earliest time at which a lease expires.
-    next_end: Moment,
-    tally: PoolTally,
+    next_expiry: Moment,
+    inflow: PoolInflow,
     /// The inflow that a new bucket has already accounted for.
-    base: PoolTally,
-    at: Moment,
+    base_inflow: PoolInflow,
+    updated_at: Moment,
     buckets: rustc_hash::FxHashMap<u64, PoolBucket>,
 }
 
 /// What has flowed into the pool since the process started, as multiples of a customer's bucket
 /// configuration.
 #[derive(Debug, Clone, Copy, Default)]
-struct PoolTally {
+struct PoolInflow {
     /// Shares in use, integrated over time in seconds.
-    share_s: f64,
+    share_seconds: f64,
     /// Sum of the shares that members added with their initial tokens.
     started: f64,
 }
@@ -60,8 +60,8 @@
 #[derive(Debug, Clone, Copy)]
 struct PoolBucket {
     pace: BucketPace,
-    rights: f64,
-    seen: PoolTally,
+    tokens: f64,
+    counted: PoolInflow,
 }
 
 impl LimitGrantor {
@@ -72,7 +72,7 @@
             name: name.to_owned(),
             run,
             stopped: false,
-            pools: std::array::from_fn(|_| RightPool::default()),
+            pools: std::array::from_fn(|_| TokenPool::default()),
         }
     }
 
@@ -82,18 +82,18 @@
             run: self.run,
             at_ms: now.0,
         };
-        let until = match offer.stamp {
+        let expires_at = match offer.stamp {
             Some(stamp) if stamp.run == self.run => stamp.moment().plus(LEASE_MS),
             _ => Moment(0),
         };
         let stopped = self.stopped;
         let pool = self.pools.get_mut(usize::from(offer.group))?;
         pool.advance(now);
-        let uses = !stopped && until > now && offer.share > 0.0;
+        let uses = !stopped && expires_at > now && offer.share > 0.0;
         let number = if uses {
-            pool.lend(offer, until)
+            pool.lease(offer, expires_at)
         } else {
-            pool.take_back(offer, now)
+            pool.return_share(offer, now)
         };
         Some(LeaseReply {
             host: self.name.clone(),
@@ -108,18 +108,18 @@
     pub fn grant(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> RightVerdict {
         let pool = &mut self.pools[super::group_of(customer)];
         pool.advance(now);
-        if pool.share <= 0.0 || self.stopped {
+        if pool.total_share <= 0.0 || self.stopped {
             return RightVerdict::NotHere;
         }
         let bucket = pool.bucket(customer, bound);
-        if bucket.rights >= 1.0 {
-            bucket.rights -= 1.0;
+        if bucket.tokens >= 1.0 {
+            bucket.tokens -= 1.0;
             return RightVerdict::Granted;
         }
-        let missing = 1.0 - bucket.rights;
-        let wait_ms = 1_000.0 * missing / (bucket.pace.per_s * pool.share);
+        let missing = 1.0 - bucket.tokens;
+        let wait_ms = 1_000.0 * missing / (bucket.pace.per_s * pool.total_share);
         RightVerdict::Denied {
-            room_in_ms: wait_ms.clamp(1.0, LONGEST_WAIT_MS) as u32,
+            room_in_ms: wait_ms.clamp(1.0, MAX_WAIT_MS) as u32,
         }
     }
 
@@ -129,121 +129,122 @@
         self.stopped = true;
         for pool in &mut self.pools {
             pool.advance(now);
-            pool.parts.clear();
-            pool.settle(0.0);
+            pool.shares.clear();
+            pool.set_total_share(0.0);
         }
     }
 
     /// The share of all limits of a group that this host pools.
     #[must_use]
     pub fn share(&self, group: usize) -> f64 {
-        self.pools.get(group).map_or(0.0, |pool| pool.share)
+        self.pools.get(group).map_or(0.0, |pool| pool.total_share)
     }
 }
 
-impl RightPool {
+impl TokenPool {
     /// Advances the pool to `now` and drops expired leases on the way.
     fn advance(&mut self, now: Moment) {
-        while self.at < now {
-            let end = self.next_end.min(now).max(self.at);
-            self.tally.share_s += self.share * end.since(self.at) as f64 / 1_000.0;
-            self.at = end;
-            if self.next_end > now {
+        while self.updated_at < now {
+            let step_end = self.next_expiry.min(now).max(self.updated_at);
+            self.inflow.share_seconds +=
+                self.total_share * step_end.since(self.updated_at) as f64 / 1_000.0;
+            self.updated_at = step_end;
+            if self.next_expiry > now {
                 return;
             }
-            self.parts.retain(|_, part| part.until > end);
-            self.settle_parts();
+            self.shares.retain(|_, share| share.expires_at > step_end);
+            self.update_total_share();
         }
     }
 
-    /// Counts a share in the pool until `until`; returns the number of the newest offer.
-    fn lend(&mut self, offer: &LeaseOffer, until: Moment) -> u64 {
-        let known = self.parts.get(&offer.host);
+    /// Counts a share in the pool until `expires_at`; returns the number of the newest offer.
+    fn lease(&mut self, offer: &LeaseOffer, expires_at: Moment) -> u64 {
+        let known = self.shares.get(&offer.host);
         if let Some(known) = known
             && (known.run, known.number) >= (offer.run, offer.number)
         {
             return known.number;
         }
         if offer.unused {
-            self.tally.started += offer.share;
+            self.inflow.started += offer.share;
         }
-        let part = LentPart {
+        let share = LeasedShare {
             run: offer.run,
             number: offer.number,
-            share: offer.share,
-            until,
+            fraction: offer.share,
+            expires_at,
         };
-        self.parts.insert(offer.host.clone(), part);
-        self.settle_parts();
+        self.shares.insert(offer.host.clone(), share);
+        self.update_total_share();
         offer.number
     }
 
     /// Returns a share to its owner; returns the number of the newest offer. That number is
     /// remembered for as long as an earlier offer could still count.
-    fn take_back(&mut self, offer: &LeaseOffer, now: Moment) -> u64 {
-        let known = self.parts.get(&offer.host);
+    fn return_share(&mut self, offer: &LeaseOffer, now: Moment) -> u64 {
+        let known = self.shares.get(&offer.host);
         if let Some(known) = known
             && (known.run, known.number) >= (offer.run, offer.number)
         {
             return known.number;
         }
-        let part = LentPart {
+        let share = LeasedShare {
             run: offer.run,
             number: offer.number,
-            share: 0.0,
-            until: now.plus(LEASE_MS),
+            fraction: 0.0,
+            expires_at: now.plus(LEASE_MS),
         };
-        self.parts.insert(offer.host.clone(), part);
-        self.settle_parts();
+        self.shares.insert(offer.host.clone(), share);
+        self.update_total_share();
         offer.number
     }
 
-    fn settle_parts(&mut self) {
-        let ends = self.parts.values().map(|part| part.until);
-        self.next_end = ends.min().unwrap_or(Moment(u64::MAX));
-        self.settle(self.parts.values().map(|part| part.share).sum());
+    fn update_total_share(&mut self) {
+        let expiries = self.shares.values().map(|share| share.expires_at);
+        self.next_expiry = expiries.min().unwrap_or(Moment(u64::MAX));
+        self.set_total_share(self.shares.values().map(|share| share.fraction).sum());
     }
 
     /// Sets a new sum of shares. If it shrinks, tokens beyond the capacity of the smaller pool are
     /// dropped at once: they must not reappear when the share is leased again.
-    fn settle(&mut self, share: f64) {
-        let before = self.share;
-        self.share = share;
-        if share >= before {
+    fn set_total_share(&mut self, total_share: f64) {
+        let before = self.total_share;
+        self.total_share = total_share;
+        if total_share >= before {
             return;
         }
-        let tally = self.tally;
+        let inflow = self.inflow;
         for bucket in self.buckets.values_mut() {
-            bucket.fill(&tally, before);
-            bucket.rights = bucket.rights.min(bucket.pace.most * share);
+            bucket.refill(&inflow, before);
+            bucket.tokens = bucket.tokens.min(bucket.pace.most * total_share);
         }
-        self.base = tally;
+        self.base_inflow = inflow;
     }
 
     fn bucket(&mut self, customer: u64, bound: &LimitBound) -> &mut PoolBucket {
         let pace = bound.pace();
         let fresh = PoolBucket {
             pace,
-            rights: 0.0,
-            seen: self.base,
+            tokens: 0.0,
+            counted: self.base_inflow,
         };
         let bucket = self.buckets.entry(customer).or_insert(fresh);
-        bucket.fill(&self.tally, self.share);
+        bucket.refill(&self.inflow, self.total_share);
         if bucket.pace != pace {
             // A lowered limit applies at once; a raised one fills with time.
             bucket.pace = pace;
-            bucket.rights = bucket.rights.min(pace.most * self.share);
+            bucket.tokens = bucket.tokens.min(pace.most * self.total_share);
         }
         bucket
     }
 }
 
 impl PoolBucket {
-    /// Adds what has flowed in since the last refill, while the pool had `share`.
-    fn fill(&mut self, tally: &PoolTally, share: f64) {
-        let by_pace = self.pace.per_s * (tally.share_s - self.seen.share_s);
-        let by_start = self.pace.most * START_SHARE * (tally.started - self.seen.started);
-        self.rights = (self.rights + by_pace + by_start).min(self.pace.most * share);
-        self.seen = *tally;
+    /// Adds what has flowed in since the last refill, while the pool had `total_share`.
+    fn refill(&mut self, inflow: &PoolInflow, total_share: f64) {
+        let by_rate = self.pace.per_s * (inflow.share_seconds - self.counted.share_seconds);
+        let by_starts = self.pace.most * START_SHARE * (inflow.started - self.counted.started);
+        self.tokens = (self.tokens + by_rate + by_starts).min(self.pace.most * total_share);
+        self.counted = *inflow;
     }
 }
--- a/src/entry/limits/member.rs
+++ b/src/entry/limits/member.rs
@@ -9,16 +9,16 @@
 
 /// A coordinator that has not answered lease offers for this long is skipped, in milliseconds:
 /// three rounds.
-const SILENT_MS: u64 = 600;
+const SILENCE_TIMEOUT_MS: u64 = 600;
 /// How long a silent coordinator is skipped, in milliseconds: a host that is alive again has been
 /// seen by then.
-const PASSED_OVER_MS: u64 = 3_000;
+const SILENT_SKIP_MS: u64 = 3_000;
 /// A coordinator that left one request unanswered is not asked again for this long, in
 /// milliseconds, unless it is seen alive.
-const UNANSWERED_MS: u64 = 300;
+const UNANSWERED_SKIP_MS: u64 = 300;
 /// A coordinator that pools nothing for a customer is not asked again for this long, in
 /// milliseconds: one round, after which that may have changed.
-const NOTHING_POOLED_MS: u64 = 200;
+const NOT_HERE_SKIP_MS: u64 = 200;
 
 /// The coordinators of one group: that of this region first, then one of each other region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -66,44 +66,44 @@
     number: u64,
     last_round: Option<Moment>,
     hosts: u32,
-    parts: [OwnPart; GROUPS],
+    shares: [OwnShare; GROUPS],
     /// Coordinators that did not answer lease offers are skipped until then.
-    silent: rustc_hash::FxHashMap<String, Moment>,
+    silent_until: rustc_hash::FxHashMap<String, Moment>,
     /// Coordinators that left a request unanswered are not asked until then; by hashes of their
     /// names. Shares stay leased to them: when hosts switched to another coordinator, that one
     /// pooled nothing, which was behind 1,087 of 1,220 limit refusals within 12 s without faults
     /// (67 hosts, 2,000 requests a second).
-    unanswered: rustc_hash::FxHashMap<u64, Moment>,
+    unanswered_until: rustc_hash::FxHashMap<u64, Moment>,
     /// Until when a coordinator has no token for a customer, by its own answer; by hashes of both
     /// names.
-    denied: rustc_hash::FxHashMap<(u64, u64), Moment>,
+    denied_until: rustc_hash::FxHashMap<(u64, u64), Moment>,
 }
 
 /// This host's share of the limits of one group.
 #[derive(Debug, Default)]
-struct OwnPart {
-    lease: Option<PartLease>,
+struct OwnShare {
+    lease: Option<ShareLease>,
     /// Until when a coordinator may use the share; afterwards it is this host's own.
-    lent_until: Moment,
+    leased_until: Moment,
     /// Whether the share was ever leased or used, so that its initial tokens are spent.
-    touched: bool,
+    initial_tokens_spent: bool,
     /// Whether a coordinator has ever confirmed that it uses the share.
-    used: bool,
+    was_used: bool,
     buckets: rustc_hash::FxHashMap<u64, TokenBucket>,
 }
 
 /// The coordinator that a share is leased to, or is going to be.
 #[derive(Debug, Clone)]
-struct PartLease {
+struct ShareLease {
     grantor: String,
     stamp: Option<GrantorStamp>,
     /// When the stamp was received.
     stamp_at: Moment,
     /// When the coordinator last answered, or the lease began.
-    heard: Moment,
+    last_seen: Moment,
     last_number: u64,
     /// Whether the share is being taken back.
-    ends: bool,
+    is_ending: bool,
 }
 
 impl LimitMember {
@@ -116,10 +116,10 @@
             number: 0,
             last_round: None,
             hosts: 0,
-            parts: std::array::from_fn(|_| OwnPart::default()),
-            silent: rustc_hash::FxHashMap::default(),
-            unanswered: rustc_hash::FxHashMap::default(),
-            denied: rustc_hash::FxHashMap::default(),
+            shares: std::array::from_fn(|_| OwnShare::default()),
+            silent_until: rustc_hash::FxHashMap::default(),
+            unanswered_until: rustc_hash::FxHashMap::default(),
+            denied_until: rustc_hash::FxHashMap::default(),
         }
     }
 
@@ -132,18 +132,20 @@
 
     /// Whether its share of the limits of a group is leased.
     #[must_use]
-    pub fn has_lent(&self, group: usize, now: Moment) -> bool {
-        self.parts.get(group).is_some_and(|part| part.is_lent(now))
+    pub fn is_leased(&self, group: usize, now: Moment) -> bool {
+        self.shares
+            .get(group)
+            .is_some_and(|share| share.is_leased(now))
     }
 
     /// Whether a coordinator has ever confirmed that it uses this host's share of the limits of a
     /// group.
     #[must_use]
-    pub fn was_lent(&self, group: usize) -> bool {
-        self.parts.get(group).is_some_and(|part| part.used)
+    pub fn was_used(&self, group: usize) -> bool {
+        self.shares.get(group).is_some_and(|share| share.was_used)
     }
 
-    fn share(&self) -> f64 {
+    fn fraction(&self) -> f64 {
         if self.hosts == 0 {
             return 0.0;
         }
@@ -152,89 +154,99 @@
 
     /// Whether a coordinator is skipped because it did not answer.
     #[must_use]
-    pub fn passes_over(&self, grantor: &str, now: Moment) -> bool {
-        self.silent.get(grantor).is_some_and(|until| now < *until)
+    pub fn is_skipped(&self, grantor: &str, now: Moment) -> bool {
+        self.silent_until
+            .get(grantor)
+            .is_some_and(|until| now < *until)
     }
 
     /// Returns the lease offers of this round. `hosts` is the number of hosts that share all
-    /// limits, `wanted` the preferred coordinator of each group.
+    /// limits, `preferred` the preferred coordinator of each group.
     pub fn round(
         &mut self,
         hosts: u32,
-        wanted: [Option<&str>; GROUPS],
+        preferred: [Option<&str>; GROUPS],
         now: Moment,
     ) -> Vec<AddressedOffer> {
         self.hosts = hosts.max(1);
-        self.silent.retain(|_, until| now < *until);
-        self.unanswered.retain(|_, until| now < *until);
-        self.denied.retain(|_, until| now < *until);
-        self.forgive_own_pause(now);
+        self.silent_until.retain(|_, until| now < *until);
+        self.unanswered_until.retain(|_, until| now < *until);
+        self.denied_until.retain(|_, until| now < *until);
+        self.allow_for_own_stall(now);
         let mut offers = Vec::new();
-        for (group, wanted) in wanted.into_iter().enumerate() {
-            self.look_after_lease(group, wanted, now);
+        for (group, preferred) in preferred.into_iter().enumerate() {
+            self.update_lease(group, preferred, now);
             offers.extend(self.next_offer(group));
         }
         offers
     }
 
     /// If this host itself was stalled, gives the coordinators time to answer again.
-    fn forgive_own_pause(&mut self, now: Moment) {
+    fn allow_for_own_stall(&mut self, now: Moment) {
         let before = self.last_round.replace(now);
         if before.is_none_or(|before| now.since(before) <= 2 * ROUND_MS) {
             return;
         }
-        for lease in self.parts.iter_mut().filter_map(|part| part.lease.as_mut()) {
-            lease.heard = now;
+        for lease in self
+            .shares
+            .iter_mut()
+            .filter_map(|share| share.lease.as_mut())
+        {
+            lease.last_seen = now;
         }
     }
 
     /// Ends the lease with a coordinator that is silent or no longer wanted; then begins the next
     /// one.
-    fn look_after_lease(&mut self, group: usize, wanted: Option<&str>, now: Moment) {
-        let part = &mut self.parts[group];
-        if let Some(lease) = &mut part.lease {
-            if now.since(lease.heard) > SILENT_MS {
-                let until = now.plus(PASSED_OVER_MS);
-                self.silent.insert(lease.grantor.clone(), until);
-                lease.ends = true;
+    fn update_lease(&mut self, group: usize, preferred: Option<&str>, now: Moment) {
+        let share = &mut self.shares[group];
+        if let Some(lease) = &mut share.lease {
+            if now.since(lease.last_seen) > SILENCE_TIMEOUT_MS {
+                let until = now.plus(SILENT_SKIP_MS);
+                self.silent_until.insert(lease.grantor.clone(), until);
+                lease.is_ending = true;
             }
-            lease.ends |= wanted != Some(lease.grantor.as_str());
-            if !lease.ends || now <= part.lent_until {
+            lease.is_ending |= preferred != Some(lease.grantor.as_str());
+            if !lease.is_ending || now <= share.leased_until {
                 return;
             }
-            part.lease = None;
+            share.lease = None;
         }
-        let Some(wanted) = wanted else {
+        let Some(preferred) = preferred else {
             return;
         };
-        if self.silent.get(wanted).is_some_and(|until| now < *until) {
+        if self
+            .silent_until
+            .get(preferred)
+            .is_some_and(|until| now < *until)
+        {
             return;
         }
-        part.lease = Some(PartLease {
-            grantor: wanted.to_owned(),
+        share.lease = Some(ShareLease {
+            grantor: preferred.to_owned(),
             stamp: None,
             stamp_at: now,
-            heard: now,
+            last_seen: now,
             last_number: 0,
-            ends: false,
+            is_ending: false,
         });
     }
 
     fn next_offer(&mut self, group: usize) -> Option<AddressedOffer> {
-        let share = self.share();
-        let part = &mut self.parts[group];
-        let lease = part.lease.as_mut()?;
+        let fraction = self.fraction();
+        let share = &mut self.shares[group];
+        let lease = share.lease.as_mut()?;
         self.number += 1;
         lease.last_number = self.number;
-        let lends = lease.stamp.is_some() && !lease.ends;
-        let unused = lends && !part.touched;
-        if lends {
+        let is_leasing = lease.stamp.is_some() && !lease.is_ending;
+        let unused = is_leasing && !share.initial_tokens_spent;
+        if is_leasing {
             let until = lease.stamp_at.plus(LEASE_MS);
-            part.touched = true;
-            part.lent_until = part.lent_until.max(until);
-            part.buckets.clear();
+            share.initial_tokens_spent = true;
+            share.leased_until = share.leased_until.max(until);
+            share.buckets.clear();
         }
-        let ends = lease.ends;
+        let is_ending = lease.is_ending;
         let stamp = lease.stamp;
         Some(AddressedOffer {
             to: lease.grantor.clone(),
@@ -243,7 +255,7 @@
                 run: self.run,
                 number: self.number,
                 group: u8::try_from(group).unwrap_or(u8::MAX),
-                share: if ends { 0.0 } else { share },
+                share: if is_ending { 0.0 } else { fraction },
                 unused,
                 stamp,
             },
@@ -253,16 +265,16 @@
     /// Handles the reply to an offer. Returns the next offer if it must not wait for the next
     /// round.
     pub fn on_reply(&mut self, reply: &LeaseReply, now: Moment) -> Option<AddressedOffer> {
-        self.silent.remove(&reply.host);
-        self.unanswered.remove(&hash::of_name(&reply.host));
+        self.silent_until.remove(&reply.host);
+        self.unanswered_until.remove(&hash::of_name(&reply.host));
         let group = usize::from(reply.group);
-        let part = self.parts.get_mut(group)?;
-        let lease = part.lease.as_mut()?;
+        let share = self.shares.get_mut(group)?;
+        let lease = share.lease.as_mut()?;
         if lease.grantor != reply.host {
             return None;
         }
-        lease.heard = now;
-        part.used |= reply.uses;
+        lease.last_seen = now;
+        share.was_used |= reply.uses;
         let known = lease.stamp.filter(|stamp| stamp.run == reply.stamp.run);
         if known.is_none_or(|stamp| stamp.at_ms < reply.stamp.at_ms) {
             lease.stamp = Some(reply.stamp);
@@ -273,10 +285,10 @@
         }
         // The coordinator has read the last offer and does not use the share, and no earlier offer
         // can make it do so.
-        let ends = lease.ends;
-        part.lent_until = part.lent_until.min(now);
-        if ends {
-            part.lease = None;
+        let is_ending = lease.is_ending;
+        share.leased_until = share.leased_until.min(now);
+        if is_ending {
+            share.lease = None;
             return None;
         }
         known.is_none().then(|| self.next_offer(group)).flatten()
@@ -293,15 +305,16 @@
         asked: usize,
         now: Moment,
     ) -> RightStep {
-        if asked == 0 && self.take_own(customer, bound, now) {
+        if asked == 0 && self.take_own_token(customer, bound, now) {
             return RightStep::Admit;
         }
         let mut room_in_ms = None;
         for grantor in &grantors.names {
-            match self.nothing_until(customer, grantor, now) {
+            match self.useless_until(customer, grantor, now) {
                 Some(until) => {
                     let wait_ms = until.since(now);
-                    room_in_ms = Some(room_in_ms.map_or(wait_ms, |least: u64| least.min(wait_ms)));
+                    room_in_ms =
+                        Some(room_in_ms.map_or(wait_ms, |shortest: u64| shortest.min(wait_ms)));
                 }
                 None if asked < MOST_ASKED => return RightStep::Ask(grantor.clone()),
                 None => {}
@@ -313,12 +326,12 @@
     }
 
     /// Until when asking this coordinator is known to be useless.
-    fn nothing_until(&self, customer: u64, grantor: &str, now: Moment) -> Option<Moment> {
+    fn useless_until(&self, customer: u64, grantor: &str, now: Moment) -> Option<Moment> {
         let name = hash::of_name(grantor);
         let waits = [
-            self.silent.get(grantor),
-            self.unanswered.get(&name),
-            self.denied.get(&(customer, name)),
+            self.silent_until.get(grantor),
+            self.unanswered_until.get(&name),
+            self.denied_until.get(&(customer, name)),
         ];
         let until = waits.into_iter().flatten().max().copied();
         until.filter(|until| now < *until)
@@ -326,44 +339,48 @@
 
     /// Records a coordinator's answer about a customer.
     pub fn on_verdict(&mut self, grantor: &str, customer: u64, verdict: RightVerdict, now: Moment) {
-        self.unanswered.remove(&hash::of_name(grantor));
-        let millis = match verdict {
+        self.unanswered_until.remove(&hash::of_name(grantor));
+        let wait_ms = match verdict {
             RightVerdict::Granted => return,
             RightVerdict::Denied { room_in_ms } => u64::from(room_in_ms),
-            RightVerdict::NotHere => NOTHING_POOLED_MS,
+            RightVerdict::NotHere => NOT_HERE_SKIP_MS,
         };
         let key = (customer, hash::of_name(grantor));
-        self.denied.insert(key, now.plus(millis));
+        self.denied_until.insert(key, now.plus(wait_ms));
     }
 
     /// Records that a coordinator left a request unanswered.
     pub fn on_unanswered(&mut self, grantor: &str, now: Moment) {
-        let until = now.plus(UNANSWERED_MS);
-        self.unanswered.insert(hash::of_name(grantor), until);
+        let until = now.plus(UNANSWERED_SKIP_MS);
+        self.unanswered_until.insert(hash::of_name(grantor), until);
     }
 
     /// Takes a token from this host's own share, unless the share is leased.
-    fn take_own(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> bool {
-        let pace = bound.pace().part(self.share());
-        let part = &mut self.parts[super::group_of(customer)];
-        if part.is_lent(now) {
+    fn take_own_token(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> bool {
+        let pace = bound.pace().part(self.fraction());
+        let share = &mut self.shares[super::group_of(customer)];
+        if share.is_leased(now) {
             return false;
         }
-        let start = if part.touched { 0.0 } else { START_SHARE };
-        let bucket = part.buckets.entry(customer);
-        let bucket =
-            bucket.or_insert_with(|| TokenBucket::with_rights(pace.most * start, part.lent_until));
+        let start = if share.initial_tokens_spent {
+            0.0
+        } else {
+            START_SHARE
+        };
+        let bucket = share.buckets.entry(customer);
+        let bucket = bucket
+            .or_insert_with(|| TokenBucket::with_tokens(pace.most * start, share.leased_until));
         bucket.fill(&pace, now);
         if !bucket.take(1.0) {
             return false;
         }
-        part.touched = true;
+        share.initial_tokens_spent = true;
         true
     }
 }
 
-impl OwnPart {
-    fn is_lent(&self, now: Moment) -> bool {
-        self.touched && now <= self.lent_until
+impl OwnShare {
+    fn is_leased(&self, now: Moment) -> bool {
+        self.initial_tokens_spent && now <= self.leased_until
     }
 }
--- a/src/entry/limits/mod.rs
+++ b/src/entry/limits/mod.rs
@@ -44,10 +44,10 @@
 /// a restart of all hosts would wait for tokens to accrue.
 const START_SHARE: f64 = 0.25;
 /// The number of starts of one host within a window that the bound allows for.
-const STARTS_IN_WINDOW: f64 = 2.0;
+const MAX_STARTS_PER_WINDOW: f64 = 2.0;
 /// The minimum share of the bound that is left for bucket capacity: if the rate took nearly all of
 /// it, no host would ever hold a whole token.
-const LEAST_HELD_SHARE: f64 = 0.15;
+const MIN_CAPACITY_SHARE: f64 = 0.15;
 
 /// How far the count of all hosts may exceed the limit that customers are promised.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -83,8 +83,8 @@
     /// ```
     #[must_use]
     pub fn allowed(&self) -> f64 {
-        let promised = self.limit.per_s * self.tolerance.window_s + self.limit.burst;
-        promised * (1.0 + self.tolerance.excess) + self.tolerance.slack
+        let nominal = self.limit.per_s * self.tolerance.window_s + self.limit.burst;
+        nominal * (1.0 + self.tolerance.excess) + self.tolerance.slack
     }
 
     /// The bucket configuration for all hosts together: the tokens of a window, and those granted
@@ -94,12 +94,12 @@
         let allowed = self.allowed();
         let counted_s = self.tolerance.window_s + RIGHT_LIFE_MS as f64 / 1_000.0;
         // Half of the excess raises the rate, the other half the capacity.
-        let wanted = self.limit.per_s * (1.0 + self.tolerance.excess / 2.0);
-        let per_s = wanted.min(allowed * (1.0 - LEAST_HELD_SHARE) / counted_s);
-        let held = allowed - per_s * counted_s;
+        let target_per_s = self.limit.per_s * (1.0 + self.tolerance.excess / 2.0);
+        let per_s = target_per_s.min(allowed * (1.0 - MIN_CAPACITY_SHARE) / counted_s);
+        let left = allowed - per_s * counted_s;
         BucketPace {
             per_s,
-            most: held / (1.0 + START_SHARE * STARTS_IN_WINDOW),
+            most: left / (1.0 + START_SHARE * MAX_STARTS_PER_WINDOW),
         }
     }
 }
--- a/src/entry/pending_answers.rs
+++ b/src/entry/pending_answers.rs
@@ -13,7 +13,7 @@
 
 /// A pending request and the channel for its answer.
 #[derive(Debug)]
-pub(super) struct OpenQuestion<T> {
+pub(super) struct PendingRequest<T> {
     /// Matches the answer to the request.
     pub(super) id: u64,
     answer: oneshot::Receiver<T>,
@@ -30,12 +30,12 @@
 
 impl<T> PendingAnswers<T> {
     /// Registers a request under a new identity.
-    pub(super) fn open(&self) -> OpenQuestion<T> {
+    pub(super) fn register(&self) -> PendingRequest<T> {
         let id = self.next_id.get() + 1;
         self.next_id.set(id);
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(id, sender);
-        OpenQuestion { id, answer }
+        PendingRequest { id, answer }
     }
 
     /// Delivers the answer to a request.
@@ -47,28 +47,28 @@
         }
     }
 
-    /// Waits for the answer to `question`; `None` if it does not come within `wait`.
+    /// Waits for the answer to `request`; `None` if it does not come within `wait`.
     pub(super) async fn wait_for(
         &self,
-        mut question: OpenQuestion<T>,
+        mut request: PendingRequest<T>,
         wait: time::Duration,
     ) -> Option<T> {
-        let answer = match tokio::time::timeout(wait, &mut question.answer).await {
+        let answer = match tokio::time::timeout(wait, &mut request.answer).await {
             Ok(answer) => answer.ok(),
             Err(_elapsed) => {
                 // If this process was stalled, the answer may still be in the socket's queue:
                 // yields once so that it can be read.
                 tokio::task::yield_now().await;
-                question.answer.try_recv().ok()
+                request.answer.try_recv().ok()
             }
         };
-        self.waiting.borrow_mut().remove(&question.id);
+        self.waiting.borrow_mut().remove(&request.id);
         answer
     }
 
     /// Removes requests whose requesters have given up.
-    pub(super) fn forget_abandoned(&self) {
+    pub(super) fn remove_abandoned(&self) {
         let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|_, asker| !asker.is_closed());
+        waiting.retain(|_, requester| !requester.is_closed());
     }
 }
--- a/src/entry/server_limit/message.rs
+++ b/src/entry/server_limit/message.rs
@@ -8,7 +8,7 @@
 /// The newest state that a host knows of one server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LimitWord {
-    /// A hash of the server's identity and start.
+    /// A hash of the server's identity and incarnation.
     pub server: u64,
     /// Rises with each change; the higher version wins.
     pub version: u32,
--- a/src/entry/server_limit/table.rs
+++ b/src/entry/server_limit/table.rs
@@ -19,7 +19,7 @@
     /// The server advertises a limit, and advertised none before.
     Began(RequestRate),
     /// The server advertises a different limit.
-    Moved(RequestRate),
+    Changed(RequestRate),
     /// The limit has ended.
     Ended,
 }
@@ -28,16 +28,16 @@
 #[derive(Debug)]
 struct LimitEntry {
     word: LimitWord,
-    spell: u32,
+    period: u32,
     /// When the limit last changed.
-    changed: Moment,
+    changed_at: Moment,
     /// No token can be expected before.
-    closed_until: Moment,
+    blocked_until: Moment,
     /// Whether this host was the limit owner when last asked.
-    keeps: bool,
+    is_owner: bool,
     bucket: TokenBucket,
     /// Tokens up to this time are promised to hosts that were denied one.
-    promised: Moment,
+    promised_until: Moment,
 }
 
 /// The limits of all servers that advertised one recently.
@@ -45,7 +45,7 @@
 pub struct ServerLimitTable {
     entries: rustc_hash::FxHashMap<u64, LimitEntry>,
     /// Servers whose update is not yet sent to other hosts.
-    news: Vec<u64>,
+    unsent: Vec<u64>,
     /// Where the next heartbeat continues.
     cursor: usize,
 }
@@ -72,8 +72,8 @@
                 None => LimitChange::None,
             };
         };
-        let ends = rate.is_none();
-        if ends && (!proves || sent_in.is_none() || sent_in != entry.current_spell()) {
+        let has_ended = rate.is_none();
+        if has_ended && (!proves || sent_in.is_none() || sent_in != entry.current_spell()) {
             return LimitChange::None;
         }
         if entry.word.rate == rate {
@@ -85,13 +85,13 @@
 
     /// Handles an update from another host.
     pub fn on_word(&mut self, word: &LimitWord, now: Moment) -> LimitChange {
-        let holds = match self.entries.get(&word.server) {
+        let is_newer = match self.entries.get(&word.server) {
             Some(known) => word.holds_beside(&known.word),
             // The end of a limit that is unknown here is ignored: otherwise hosts would send it to
             // each other for ever.
             None => word.rate.is_some(),
         };
-        if !holds {
+        if !is_newer {
             return LimitChange::None;
         }
         self.learn(word.server, word.version, word.rate, now)
@@ -117,13 +117,13 @@
         entry.set(version, rate, now);
         let change = match (before, rate) {
             (None, Some(rate)) => LimitChange::Began(rate),
-            (Some(before), Some(rate)) if before != rate => LimitChange::Moved(rate),
+            (Some(before), Some(rate)) if before != rate => LimitChange::Changed(rate),
             (Some(_), None) => LimitChange::Ended,
             (Some(_), Some(_)) | (None, None) => LimitChange::None,
         };
         // A changed rate matters only to the limit owner, which learns it from the token requests.
         if matches!(change, LimitChange::Began(_) | LimitChange::Ended) {
-            self.news.push(server);
+            self.unsent.push(server);
         }
         change
     }
@@ -136,7 +136,7 @@
 
     /// What this host knows of `server`, if that advertises a limit.
     #[must_use]
-    pub fn word_of(&self, server: u64) -> Option<LimitWord> {
+    pub fn update_of(&self, server: u64) -> Option<LimitWord> {
         let word = self.entries.get(&server)?.word;
         word.rate.is_some().then_some(word)
     }
@@ -150,20 +150,21 @@
     /// Whether a token for `server` can be expected now, or none is needed.
     #[must_use]
     pub fn is_open(&self, server: u64, now: Moment) -> bool {
-        self.opens_at(server).is_none_or(|opens| opens <= now)
+        self.opens_at(server)
+            .is_none_or(|expected_at| expected_at <= now)
     }
 
     /// When a token for `server` can be expected; `None` if none is needed.
     #[must_use]
     pub fn opens_at(&self, server: u64) -> Option<Moment> {
         let entry = self.entries.get(&server)?;
-        entry.word.rate.map(|_| entry.closed_until)
+        entry.word.rate.map(|_| entry.blocked_until)
     }
 
     /// Records that no token for `server` can be expected within `wait_ms`.
     pub fn on_denied(&mut self, server: u64, wait_ms: u64, now: Moment) {
         if let Some(entry) = self.entries.get_mut(&server) {
-            entry.closed_until = now.plus(wait_ms);
+            entry.blocked_until = now.plus(wait_ms);
         }
     }
 
@@ -175,17 +176,17 @@
         let Some(rate) = entry.word.rate else {
             return RightVerdict::Granted;
         };
-        if !entry.keeps {
-            entry.keeps = true;
-            entry.bucket = TokenBucket::with_rights(0.0, now);
+        if !entry.is_owner {
+            entry.is_owner = true;
+            entry.bucket = TokenBucket::with_tokens(0.0, now);
         }
-        entry.grant(&pace_of(rate), now)
+        entry.grant(&bucket_config(rate), now)
     }
 
     /// Records that another host is the limit owner of `server`.
     pub fn on_other_keeper(&mut self, server: u64) {
         if let Some(entry) = self.entries.get_mut(&server) {
-            entry.keeps = false;
+            entry.is_owner = false;
         }
     }
 
@@ -198,7 +199,7 @@
 
     /// The updates to send to other hosts at once; each is returned once.
     pub fn take_news(&mut self) -> Vec<LimitWord> {
-        let mut servers = std::mem::take(&mut self.news);
+        let mut servers = std::mem::take(&mut self.unsent);
         servers.sort_unstable();
         servers.dedup();
         let entries = servers.iter().filter_map(|server| self.entries.get(server));
@@ -208,18 +209,24 @@
     /// The updates for the next heartbeat; heartbeats go through all of them round robin.
     pub fn words_in_turn(&mut self) -> Vec<LimitWord> {
         let count = self.entries.len();
-        let told = count.min(WORDS_PER_HEARTBEAT);
-        let entries = self.entries.values().cycle().skip(self.cursor).take(told);
-        let words = entries.map(|entry| entry.word).collect();
-        self.cursor = (self.cursor + told).checked_rem(count).unwrap_or(0);
-        words
+        let count_sent = count.min(WORDS_PER_HEARTBEAT);
+        let entries = self
+            .entries
+            .values()
+            .cycle()
+            .skip(self.cursor)
+            .take(count_sent);
+        let updates = entries.map(|entry| entry.word).collect();
+        self.cursor = (self.cursor + count_sent).checked_rem(count).unwrap_or(0);
+        updates
     }
 
     /// Removes limits that ended long ago, and those of servers that are no longer known.
     pub fn on_tick(&mut self, is_known: impl Fn(u64) -> bool, now: Moment) {
         self.entries.retain(|server, entry| {
-            let is_told = entry.word.rate.is_some() || now.since(entry.changed) <= OVER_TOLD_MS;
-            is_told && is_known(*server)
+            let is_retained =
+                entry.word.rate.is_some() || now.since(entry.changed_at) <= OVER_TOLD_MS;
+            is_retained && is_known(*server)
         });
     }
 }
@@ -232,32 +239,32 @@
                 version: 0,
                 rate: None,
             },
-            spell: 0,
-            changed: now,
-            closed_until: now,
-            keeps: false,
-            bucket: TokenBucket::with_rights(0.0, now),
-            promised: now,
+            period: 0,
+            changed_at: now,
+            blocked_until: now,
+            is_owner: false,
+            bucket: TokenBucket::with_tokens(0.0, now),
+            promised_until: now,
         }
     }
 
     fn set(&mut self, version: u32, rate: Option<RequestRate>, now: Moment) {
         if let Some(before) = self.word.rate {
             // Tokens up to now accrue at the previous limit.
-            self.bucket.fill(&pace_of(before), now);
+            self.bucket.fill(&bucket_config(before), now);
         } else {
-            self.spell = self.spell.wrapping_add(1);
-            self.keeps = false;
-            self.closed_until = now;
-            self.promised = now;
+            self.period = self.period.wrapping_add(1);
+            self.is_owner = false;
+            self.blocked_until = now;
+            self.promised_until = now;
         }
-        self.changed = now;
+        self.changed_at = now;
         self.word.version = version;
         self.word.rate = rate;
     }
 
     fn current_spell(&self) -> Option<LimitSpell> {
-        self.word.rate.map(|_| LimitSpell(self.spell))
+        self.word.rate.map(|_| LimitSpell(self.period))
     }
 
     /// Denials report times that are one token apart, so that many hosts that each want few tokens
@@ -267,22 +274,24 @@
         if self.bucket.take(1.0) {
             return RightVerdict::Granted;
         }
-        let gap_ms = (1_000.0 / pace.per_s).min(LONGEST_WAIT_MS as f64);
-        let missing_ms = (1.0 - self.bucket.rights()) * gap_ms;
+        let token_interval_ms = (1_000.0 / pace.per_s).min(LONGEST_WAIT_MS as f64);
+        let missing_ms = (1.0 - self.bucket.tokens()) * token_interval_ms;
         // Each value is at most the longest wait, by the lines around.
         let next = now.plus(missing_ms.ceil() as u64);
-        let room = next.max(self.promised.plus(gap_ms as u64));
-        let room = room.min(now.plus(LONGEST_WAIT_MS));
-        self.promised = room;
+        let available_at = next.max(self.promised_until.plus(token_interval_ms as u64));
+        let available_at = available_at.min(now.plus(LONGEST_WAIT_MS));
+        self.promised_until = available_at;
         RightVerdict::Denied {
-            room_in_ms: u32::try_from(room.since(now)).unwrap_or(u32::MAX).max(1),
+            room_in_ms: u32::try_from(available_at.since(now))
+                .unwrap_or(u32::MAX)
+                .max(1),
         }
     }
 }
 
 /// The bucket configuration for a limit: refills at the rate that the server takes, and holds one
 /// token plus those of half a second.
-fn pace_of(rate: RequestRate) -> BucketPace {
+fn bucket_config(rate: RequestRate) -> BucketPace {
     let per_s = rate.per_s().max(LEAST_PER_S);
     BucketPace {
         per_s,
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct ServerLimitRole {
     table: cell::RefCell<ServerLimitTable>,
-    questions: PendingAnswers<SendRightAnswer>,
+    pending_requests: PendingAnswers<SendRightAnswer>,
 }
 
 /// What an answer advertises about its server's limit.
@@ -72,13 +72,13 @@
             answer.proves,
             self.now(),
         );
-        self.note_limit(&server.id, change, "answer");
+        self.log_limit_change(&server.id, change, "answer");
     }
 
-    fn note_limit(&self, server: &str, change: LimitChange, source: &str) {
+    fn log_limit_change(&self, server: &str, change: LimitChange, source: &str) {
         let (event, rate) = match change {
             LimitChange::None => return,
-            LimitChange::Began(rate) | LimitChange::Moved(rate) => {
+            LimitChange::Began(rate) | LimitChange::Changed(rate) => {
                 (EventCode::ServerLimited, Some(rate))
             }
             LimitChange::Ended => (EventCode::ServerUnlimited, None),
@@ -94,12 +94,16 @@
     /// Acquires a token to send one request to `server`. If there is none, the server is skipped in
     /// later choices until a token can be expected.
     pub(super) async fn find_send_right(&self, server: &FleetServer) -> Option<SendRight> {
-        let word = self.server_limits.table.borrow().word_of(server.start_hash);
+        let word = self
+            .server_limits
+            .table
+            .borrow()
+            .update_of(server.start_hash);
         let Some(word) = word else {
             return Some(SendRight::NotNeeded);
         };
         let until = self.now().plus(RIGHT_LIFE_MS);
-        let verdict = self.ask_for_send(server, word).await;
+        let verdict = self.request_send_token(server, word).await;
         let mut metrics = self.metrics.borrow_mut();
         let wait_ms = match verdict {
             Some(RightVerdict::Granted) => {
@@ -127,27 +131,31 @@
         right.is_good(is_limited, self.now())
     }
 
-    async fn ask_for_send(&self, server: &FleetServer, word: LimitWord) -> Option<RightVerdict> {
-        match self.keeper_of(server) {
-            KeeperPlace::Own => Some(self.grant_send(server)),
+    async fn request_send_token(
+        &self,
+        server: &FleetServer,
+        word: LimitWord,
+    ) -> Option<RightVerdict> {
+        match self.limit_owner_of(server) {
+            KeeperPlace::Own => Some(self.grant_send_token(server)),
             KeeperPlace::Nowhere => None,
             KeeperPlace::At { address, is_near } => {
                 self.server_limits.on_other_keeper(server.start_hash);
-                self.ask_keeper(address, is_near, word).await
+                self.request_send_token_from(address, is_near, word).await
             }
         }
     }
 
-    async fn ask_keeper(
+    async fn request_send_token_from(
         &self,
         address: net::SocketAddr,
         is_near: bool,
         word: LimitWord,
     ) -> Option<RightVerdict> {
         let asked_at = self.now();
-        let question = self.server_limits.questions.open();
+        let pending = self.server_limits.pending_requests.register();
         let request = ServerLimitMessage::Ask(SendRightRequest {
-            id: question.id,
+            id: pending.id,
             word,
             reply_to: None,
         });
@@ -156,15 +164,15 @@
         let wait = time::Duration::from_millis(wait_ms);
         let answer = self
             .server_limits
-            .questions
-            .wait_for(question, wait)
+            .pending_requests
+            .wait_for(pending, wait)
             .await?;
-        self.on_limit_word(&answer.word, "keeper");
+        self.apply_limit_update(&answer.word, "keeper");
         let is_late = self.now().since(asked_at) > RIGHT_LIFE_MS;
         (!is_late).then_some(answer.verdict)
     }
 
-    fn keeper_of(&self, server: &FleetServer) -> KeeperPlace {
+    fn limit_owner_of(&self, server: &FleetServer) -> KeeperPlace {
         let own = self.record();
         let peers = self.peers.borrow();
         let query = KeeperQuery {
@@ -178,7 +186,7 @@
 
     /// Grants a token as the limit owner. A host that has not yet seen the other hosts of its
     /// region grants none: it might take itself for the owner of every server's limit.
-    fn grant_send(&self, server: &FleetServer) -> RightVerdict {
+    fn grant_send_token(&self, server: &FleetServer) -> RightVerdict {
         if !self.has_met_region() {
             return RightVerdict::NotHere;
         }
@@ -187,7 +195,7 @@
     }
 
     /// Applies an update for a server that is known here; updates for unknown servers are ignored.
-    fn on_limit_word(&self, word: &LimitWord, source: &str) {
+    fn apply_limit_update(&self, word: &LimitWord, source: &str) {
         let server = self.fleet.borrow().of_start(word.server);
         let Some(server) = server else {
             return;
@@ -195,26 +203,26 @@
         let mut table = self.server_limits.table.borrow_mut();
         let change = table.on_word(word, self.now());
         drop(table);
-        self.note_limit(&server.id, change, source);
+        self.log_limit_change(&server.id, change, source);
     }
 
     /// Applies updates from another host and sends back the newer ones that it is missing.
-    pub(super) fn on_limit_words(&self, words: &[LimitWord], source: Option<net::SocketAddr>) {
-        for word in words {
-            self.on_limit_word(word, "peer");
+    pub(super) fn on_limit_words(&self, updates: &[LimitWord], source: Option<net::SocketAddr>) {
+        for word in updates {
+            self.apply_limit_update(word, "peer");
         }
         let table = self.server_limits.table.borrow();
-        let beyond = words.iter().filter_map(|word| table.word_beyond(word));
-        let beyond: Vec<LimitWord> = beyond.collect();
+        let newer = updates.iter().filter_map(|word| table.word_beyond(word));
+        let newer: Vec<LimitWord> = newer.collect();
         drop(table);
         if let Some(source) = source {
-            self.tell_limits(&beyond, &[source]);
+            self.send_limit_updates(&newer, &[source]);
         }
     }
 
-    fn tell_limits(&self, words: &[LimitWord], targets: &[net::SocketAddr]) {
-        for part in words.chunks(WORDS_PER_DATAGRAM) {
-            let message = ServerLimitMessage::Words(part.to_vec());
+    fn send_limit_updates(&self, updates: &[LimitWord], targets: &[net::SocketAddr]) {
+        for chunk in updates.chunks(WORDS_PER_DATAGRAM) {
+            let message = ServerLimitMessage::Words(chunk.to_vec());
             gossip::send(self, &PeerMessage::ServerLimit(message), targets);
         }
     }
@@ -223,14 +231,14 @@
     /// forward them. Even if all servers of a hall advertise limits, that costs each host one
     /// datagram per target, not one per server.
     pub(super) fn on_limit_tick(&self) {
-        self.server_limits.questions.forget_abandoned();
+        self.server_limits.pending_requests.remove_abandoned();
         let mut table = self.server_limits.table.borrow_mut();
         let fleet = self.fleet.borrow();
         table.on_tick(|server| fleet.of_start(server).is_some(), self.now());
         drop(fleet);
-        let news = table.take_news();
+        let updates = table.take_news();
         drop(table);
-        if news.is_empty() {
+        if updates.is_empty() {
             return;
         }
         let region = self.settings().region.clone();
@@ -238,51 +246,51 @@
             let mut random = self.random.borrow_mut();
             self.peers.borrow().word_targets(&region, &mut random)
         };
-        self.tell_limits(&news, &targets);
+        self.send_limit_updates(&updates, &targets);
     }
 
     /// Handles a token request of another host: grants a token as the limit owner, or forwards the
     /// request once.
-    fn on_right_request(&self, request: &SendRightRequest, source: net::SocketAddr) {
-        self.on_limit_word(&request.word, "peer");
+    fn on_send_token_request(&self, request: &SendRightRequest, source: net::SocketAddr) {
+        self.apply_limit_update(&request.word, "peer");
         // A server that is unknown here has no known limit owner.
         let server = self.fleet.borrow().of_start(request.word.server);
-        let place = server
+        let owner = server
             .as_ref()
-            .map_or(KeeperPlace::Nowhere, |server| self.keeper_of(server));
-        let verdict = match (place, &server) {
-            (KeeperPlace::Own, Some(server)) => self.grant_send(server),
+            .map_or(KeeperPlace::Nowhere, |server| self.limit_owner_of(server));
+        let verdict = match (owner, &server) {
+            (KeeperPlace::Own, Some(server)) => self.grant_send_token(server),
             (KeeperPlace::At { address, is_near }, _) => {
                 self.server_limits.on_other_keeper(request.word.server);
                 if is_near && request.reply_to.is_none() {
-                    self.pass_on_request(request, source, address);
+                    self.forward_token_request(request, source, address);
                     return;
                 }
                 RightVerdict::NotHere
             }
             _ => RightVerdict::NotHere,
         };
-        let beyond = self.server_limits.table.borrow().word_beyond(&request.word);
+        let newer = self.server_limits.table.borrow().word_beyond(&request.word);
         let answer = ServerLimitMessage::Answer(SendRightAnswer {
             id: request.id,
-            word: beyond.unwrap_or(request.word),
+            word: newer.unwrap_or(request.word),
             verdict,
         });
-        let asker = request.reply_to.unwrap_or(source);
-        gossip::send(self, &PeerMessage::ServerLimit(answer), &[asker]);
+        let requester = request.reply_to.unwrap_or(source);
+        gossip::send(self, &PeerMessage::ServerLimit(answer), &[requester]);
     }
 
-    fn pass_on_request(
+    fn forward_token_request(
         &self,
         request: &SendRightRequest,
-        asker: net::SocketAddr,
-        keeper: net::SocketAddr,
+        requester: net::SocketAddr,
+        owner: net::SocketAddr,
     ) {
-        let passed_on = ServerLimitMessage::Ask(SendRightRequest {
-            reply_to: Some(asker),
+        let forwarded = ServerLimitMessage::Ask(SendRightRequest {
+            reply_to: Some(requester),
             ..request.clone()
         });
-        gossip::send(self, &PeerMessage::ServerLimit(passed_on), &[keeper]);
+        gossip::send(self, &PeerMessage::ServerLimit(forwarded), &[owner]);
     }
 }
 
@@ -293,10 +301,12 @@
     source: net::SocketAddr,
 ) {
     match message {
-        ServerLimitMessage::Words(words) => host.on_limit_words(&words, Some(source)),
-        ServerLimitMessage::Ask(request) => host.on_right_request(&request, source),
+        ServerLimitMessage::Words(updates) => host.on_limit_words(&updates, Some(source)),
+        ServerLimitMessage::Ask(request) => host.on_send_token_request(&request, source),
         ServerLimitMessage::Answer(answer) => {
-            host.server_limits.questions.on_answer(answer.id, answer);
+            host.server_limits
+                .pending_requests
+                .on_answer(answer.id, answer);
         }
     }
 }
--- a/src/limit_experiment/customer.rs
+++ b/src/limit_experiment/customer.rs
@@ -16,7 +16,7 @@
 pub(super) struct SimCustomer {
     pub(super) name: u64,
     usual_per_s: f64,
-    pub(super) press: f64,
+    pub(super) load_factor: f64,
     /// When its next request arrives, in milliseconds; fractional, as several may arrive within
     /// one.
     next_ms: f64,
@@ -26,32 +26,32 @@
     admitted: Vec<Moment>,
     pub(super) count: CustomerCount,
     /// The tokens left in a single bucket that sees all requests.
-    ideal: f64,
-    ideal_at: Moment,
+    ideal_tokens: f64,
+    ideal_updated_at: Moment,
 }
 
 impl SimCustomer {
-    pub(super) fn with_pace(scenario: &LimitScenario, number: usize, usual_per_s: f64) -> Self {
+    pub(super) fn with_rate(scenario: &LimitScenario, number: usize, usual_per_s: f64) -> Self {
         let bound = scenario.bound(usual_per_s);
         Self {
             name: hash::of_name(&format!("customer-{number}")),
             usual_per_s,
-            press: 1.0,
+            load_factor: 1.0,
             next_ms: 0.0,
             bound,
             lowered: None,
             admitted: Vec::new(),
             count: CustomerCount::default(),
-            ideal: bound.limit.burst,
-            ideal_at: Moment(0),
+            ideal_tokens: bound.limit.burst,
+            ideal_updated_at: Moment(0),
         }
     }
 
     /// Samples the arrival of its next request from a Poisson process.
-    pub(super) fn draw_next(&mut self, random: &mut SmallRng, now: Moment) -> Moment {
-        let drawn: f64 = random.random_range(f64::EPSILON..1.0);
-        let pace = self.usual_per_s * self.press;
-        self.next_ms = self.next_ms.max(now.0 as f64) - drawn.ln() / pace * 1_000.0;
+    pub(super) fn sample_next(&mut self, random: &mut SmallRng, now: Moment) -> Moment {
+        let sampled: f64 = random.random_range(f64::EPSILON..1.0);
+        let rate = self.usual_per_s * self.load_factor;
+        self.next_ms = self.next_ms.max(now.0 as f64) - sampled.ln() / rate * 1_000.0;
         // A float cast saturates, and the moment lies ahead.
         Moment(self.next_ms as u64)
     }
@@ -59,12 +59,12 @@
     /// Counts a request, and whether a single bucket that sees all requests would let it through.
     pub(super) fn on_arrival(&mut self, now: Moment) {
         let limit = self.bound.limit;
-        let came = limit.per_s * now.since(self.ideal_at) as f64 / 1_000.0;
-        self.ideal = (self.ideal + came).min(limit.burst);
-        self.ideal_at = now;
+        let accrued = limit.per_s * now.since(self.ideal_updated_at) as f64 / 1_000.0;
+        self.ideal_tokens = (self.ideal_tokens + accrued).min(limit.burst);
+        self.ideal_updated_at = now;
         self.count.sent += 1;
-        if self.ideal >= 1.0 {
-            self.ideal -= 1.0;
+        if self.ideal_tokens >= 1.0 {
+            self.ideal_tokens -= 1.0;
             self.count.owed += 1;
         }
     }
@@ -74,7 +74,7 @@
         self.admitted.push(now);
     }
 
-    pub(super) fn lower(&mut self, factor: f64, now: Moment) {
+    pub(super) fn lower_limit(&mut self, factor: f64, now: Moment) {
         // If the limit was lowered shortly before, the bound before that one still applies.
         let window_ms = (self.bound.tolerance.window_s * 1_000.0) as u64;
         let before = match self.lowered {
--- a/src/limit_experiment/faults.rs
+++ b/src/limit_experiment/faults.rs
@@ -8,20 +8,22 @@
 
 /// Minimum downtime of a killed host, in milliseconds: it restarts within the lease of its previous
 /// run.
-const DOWN_MS: u64 = 200;
+const MIN_DOWNTIME_MS: u64 = 200;
 
 impl<W: LimitWay> LimitWorld<'_, W> {
     pub(super) fn on_begin(&mut self, fault: LimitFault) {
         match fault.kind {
             LimitFaultKind::Press { customer, factor } => {
                 let number = customer as usize % self.customers.len();
-                self.customers[number].press = factor;
+                self.customers[number].load_factor = factor;
+            }
+            LimitFaultKind::Kill { share } => {
+                self.kill(share, fault.duration_ms.max(MIN_DOWNTIME_MS))
             }
-            LimitFaultKind::Kill { share } => self.kill(share, fault.for_ms.max(DOWN_MS)),
             LimitFaultKind::Cut { parts } => {
                 let parts = parts.max(1);
-                for part in &mut self.part_of {
-                    *part = self.random.random_range(0..parts);
+                for partition in &mut self.partition_of {
+                    *partition = self.random.random_range(0..parts);
                 }
                 self.cut_since = Some(self.now);
             }
@@ -30,21 +32,21 @@
             }
             LimitFaultKind::Lower { customer, factor } => {
                 let number = customer as usize % self.customers.len();
-                self.customers[number].lower(factor, self.now);
+                self.customers[number].lower_limit(factor, self.now);
                 return;
             }
         }
-        self.schedule(fault.for_ms, WorldEvent::End(fault));
+        self.schedule(fault.duration_ms, WorldEvent::End(fault));
     }
 
     fn kill(&mut self, share: f64, down_ms: u64) {
         for host in 0..self.hosts.len() {
-            if !self.hosts[host].lives || !self.random.random_bool(share.clamp(0.0, 1.0)) {
+            if !self.hosts[host].is_alive || !self.random.random_bool(share.clamp(0.0, 1.0)) {
                 continue;
             }
             let killed = &mut self.hosts[host];
-            killed.lives = false;
-            killed.changed = self.now;
+            killed.is_alive = false;
+            killed.changed_at = self.now;
             for (_, customer, _) in std::mem::take(&mut killed.waiting).into_values() {
                 self.customers[customer].count.refused += 1;
             }
@@ -55,19 +57,19 @@
 
     pub(super) fn on_start(&mut self, host: usize) {
         let started = &mut self.hosts[host];
-        started.life += 1;
-        started.lives = true;
-        started.changed = self.now;
-        started.way = W::start(host, started.life, self.now);
-        let life = started.life;
-        self.schedule(0, WorldEvent::Round { host, life });
+        started.run += 1;
+        started.is_alive = true;
+        started.changed_at = self.now;
+        started.way = W::start(host, started.run, self.now);
+        let run = started.run;
+        self.schedule(0, WorldEvent::Round { host, run });
     }
 
     pub(super) fn on_end(&mut self, fault: LimitFault) {
         match fault.kind {
             LimitFaultKind::Press { customer, .. } => {
                 let number = customer as usize % self.customers.len();
-                self.customers[number].press = 1.0;
+                self.customers[number].load_factor = 1.0;
             }
             LimitFaultKind::Cut { .. } => self.cut_since = None,
             LimitFaultKind::Gather { .. } => self.gathered = None,
--- a/src/limit_experiment/fixed_parts.rs
+++ b/src/limit_experiment/fixed_parts.rs
@@ -44,14 +44,14 @@
             None => self
                 .buckets
                 .entry(customer.to_owned())
-                .or_insert_with(|| TokenBucket::with_rights(part.most * START_SHARE, now)),
+                .or_insert_with(|| TokenBucket::with_tokens(part.most * START_SHARE, now)),
         };
         bucket.fill(&part, now);
         if bucket.take(1.0) {
             return FixedVerdict::Admitted;
         }
         let wait_s = if part.per_s > 0.0 {
-            (1.0 - bucket.rights()) / part.per_s
+            (1.0 - bucket.tokens()) / part.per_s
         } else {
             bound.tolerance.window_s
         };
--- a/src/limit_experiment/scenario.rs
+++ b/src/limit_experiment/scenario.rs
@@ -28,9 +28,9 @@
     /// The simulated time, in milliseconds.
     pub length_ms: u64,
     /// Network latency between hosts of one region, one way, in milliseconds.
-    pub near_ms: u64,
+    pub local_latency_ms: u64,
     /// Network latency between hosts of different regions, one way, in milliseconds.
-    pub far_ms: u64,
+    pub remote_latency_ms: u64,
     /// The share of datagrams that are lost.
     pub loss: f64,
     /// The injected faults.
@@ -43,7 +43,7 @@
     /// When it begins, in milliseconds.
     pub at_ms: u64,
     /// How long it lasts, in milliseconds.
-    pub for_ms: u64,
+    pub duration_ms: u64,
     /// The kind of fault.
     pub kind: LimitFaultKind,
 }
@@ -99,7 +99,7 @@
 
     /// The usual load of each customer, per second.
     #[must_use]
-    pub fn usual_paces(&self) -> Vec<f64> {
+    pub fn usual_rates(&self) -> Vec<f64> {
         let weights = (0..self.customers).map(|number| 1.0 / f64::from(number + 1));
         let sum: f64 = weights.clone().sum();
         weights
@@ -143,8 +143,8 @@
             slack: reader.optional_number("slack", 0.0..=1e6).unwrap_or(0.0),
         },
         length_ms: reader.duration("length").as_millis() as u64,
-        near_ms: reader.duration("near").as_millis() as u64,
-        far_ms: reader.duration("far").as_millis() as u64,
+        local_latency_ms: reader.duration("near").as_millis() as u64,
+        remote_latency_ms: reader.duration("far").as_millis() as u64,
         loss: reader.optional_share("loss").unwrap_or(0.0),
         faults: reader.list("faults", read_fault),
     }
@@ -152,11 +152,11 @@
 
 fn read_fault(reader: &mut ObjectReader<'_, '_>) -> LimitFault {
     let at_ms = reader.duration("at").as_millis() as u64;
-    let for_ms = reader
+    let duration_ms = reader
         .optional_duration("for")
         .map_or(0, |length| length.as_millis() as u64);
-    let word = reader.string("kind");
-    let kind = match word.as_str() {
+    let kind_name = reader.string("kind");
+    let kind = match kind_name.as_str() {
         "press" => LimitFaultKind::Press {
             customer: reader.integer("customer", 0..=100_000),
             factor: reader.optional_number("factor", 0.0..=1e3).unwrap_or(8.0),
@@ -182,7 +182,7 @@
     };
     LimitFault {
         at_ms,
-        for_ms,
+        duration_ms,
         kind,
     }
 }
--- a/src/limit_experiment/ways/counts.rs
+++ b/src/limit_experiment/ways/counts.rs
@@ -8,7 +8,7 @@
 
 /// The requests that a host let through in one round.
 #[derive(Debug, Clone, serde::Serialize)]
-pub struct CountNews {
+pub struct CountReport {
     counts: Vec<(u64, u32)>,
 }
 
@@ -18,14 +18,14 @@
 #[derive(Debug)]
 pub struct CountsWay {
     own: usize,
-    untold: collections::BTreeMap<u64, u32>,
+    unsent: collections::BTreeMap<u64, u32>,
     known: collections::HashMap<u64, collections::VecDeque<(Moment, u32)>>,
-    heard: collections::HashMap<usize, Moment>,
+    last_reports: collections::HashMap<usize, Moment>,
 }
 
 impl CountsWay {
     /// A host counts as alive for this long after its last report, in milliseconds.
-    const HEARD_MS: u64 = 1_000;
+    const REPORT_TIMEOUT_MS: u64 = 1_000;
 
     fn add(&mut self, customer: u64, count: u32, now: Moment) {
         self.known
@@ -47,16 +47,16 @@
 }
 
 impl LimitWay for CountsWay {
-    type Message = CountNews;
+    type Message = CountReport;
 
     const NAME: &'static str = "counts told";
 
     fn start(own: usize, _run: u64, _now: Moment) -> Self {
         Self {
             own,
-            untold: collections::BTreeMap::new(),
+            unsent: collections::BTreeMap::new(),
             known: collections::HashMap::new(),
-            heard: collections::HashMap::new(),
+            last_reports: collections::HashMap::new(),
         }
     }
 
@@ -65,29 +65,32 @@
         request: &SimRequest,
         view: &HostView,
         now: Moment,
-        _out: &mut Vec<SentMessage<CountNews>>,
+        _out: &mut Vec<SentMessage<CountReport>>,
     ) -> SimDecision {
         let bound = &request.bound;
         let window_ms = (bound.tolerance.window_s * 1_000.0) as u64;
-        let heard = self.heard.values();
-        let heard = heard.filter(|at| now.since(**at) <= Self::HEARD_MS).count();
-        let share = ((heard + 1) as f64 / f64::from(view.hosts)).min(1.0);
-        let most = (bound.limit.per_s * bound.tolerance.window_s + bound.limit.burst) * share;
-        if self.sum(request.customer, window_ms, now) + 1.0 > most {
+        let reporting = self.last_reports.values();
+        let reporting = reporting
+            .filter(|at| now.since(**at) <= Self::REPORT_TIMEOUT_MS)
+            .count();
+        let share = ((reporting + 1) as f64 / f64::from(view.hosts)).min(1.0);
+        let max_admitted =
+            (bound.limit.per_s * bound.tolerance.window_s + bound.limit.burst) * share;
+        if self.sum(request.customer, window_ms, now) + 1.0 > max_admitted {
             return SimDecision::Refuse;
         }
         self.add(request.customer, 1, now);
-        *self.untold.entry(request.customer).or_default() += 1;
+        *self.unsent.entry(request.customer).or_default() += 1;
         SimDecision::Admit
     }
 
-    fn on_round(&mut self, view: &HostView, _now: Moment, out: &mut Vec<SentMessage<CountNews>>) {
-        let counts = std::mem::take(&mut self.untold).into_iter().collect();
-        let news = CountNews { counts };
-        for to in (0..view.lives.len()).filter(|to| *to != self.own && view.lives[*to]) {
+    fn on_round(&mut self, view: &HostView, _now: Moment, out: &mut Vec<SentMessage<CountReport>>) {
+        let counts = std::mem::take(&mut self.unsent).into_iter().collect();
+        let report = CountReport { counts };
+        for to in (0..view.alive.len()).filter(|to| *to != self.own && view.alive[*to]) {
             out.push(SentMessage {
                 to,
-                message: news.clone(),
+                message: report.clone(),
             });
         }
     }
@@ -95,12 +98,12 @@
     fn on_message(
         &mut self,
         from: usize,
-        message: &CountNews,
+        message: &CountReport,
         _bound_of: &dyn Fn(u64) -> LimitBound,
         now: Moment,
-        _out: &mut Vec<SentMessage<CountNews>>,
+        _out: &mut Vec<SentMessage<CountReport>>,
     ) -> Option<(u64, SimDecision)> {
-        self.heard.insert(from, now);
+        self.last_reports.insert(from, now);
         for (customer, count) in &message.counts {
             self.add(*customer, *count, now);
         }
--- a/src/limit_experiment/ways/mod.rs
+++ b/src/limit_experiment/ways/mod.rs
@@ -21,7 +21,7 @@
     /// The region of each host.
     pub regions: Vec<usize>,
     /// Whether each host is alive, as far as this one knows.
-    pub lives: Vec<bool>,
+    pub alive: Vec<bool>,
 }
 
 impl HostView {
@@ -37,7 +37,7 @@
 
     fn grantor(&self, region: usize, group: usize, skip: impl Fn(&str) -> bool) -> Option<String> {
         let hosts = (0..self.regions.len()).filter(|host| self.regions[*host] == region);
-        let live = hosts.filter(|host| self.lives[*host]).map(Self::name);
+        let live = hosts.filter(|host| self.alive[*host]).map(Self::name);
         let rank = |name: &String| hash::mix(hash::of_name(name) ^ hash::mix(group as u64 + 1));
         live.filter(|name| !skip(name)).min_by_key(rank)
     }
@@ -116,7 +116,7 @@
     }
 
     /// Handles the timeout of a request that was waiting.
-    fn on_waited(
+    fn on_wait_ended(
         &mut self,
         _request: &SimRequest,
         _now: Moment,
--- a/src/limit_experiment/ways/pooled.rs
+++ b/src/limit_experiment/ways/pooled.rs
@@ -15,7 +15,7 @@
     own: usize,
     member: LimitMember,
     grantor: LimitGrantor,
-    lists: [GrantorList; GROUPS],
+    coordinator_lists: [GrantorList; GROUPS],
     waiting: collections::HashMap<u64, WaitingRequest>,
 }
 
@@ -27,30 +27,30 @@
 }
 
 impl PooledWay {
-    fn look_up_grantors(&mut self, view: &HostView, now: Moment) {
+    fn update_coordinators(&mut self, view: &HostView, now: Moment) {
         let region = view.regions[view.own];
         let regions = 1 + view.regions.iter().copied().max().unwrap_or(0);
         let member = &self.member;
-        self.lists = std::array::from_fn(|group| {
-            let order =
+        self.coordinator_lists = std::array::from_fn(|group| {
+            let regions_in_order =
                 std::iter::once(region).chain((0..regions).filter(|other| *other != region));
-            let skip = |name: &str| member.passes_over(name, now);
+            let skip = |name: &str| member.is_skipped(name, now);
             GrantorList {
-                names: order
+                names: regions_in_order
                     .filter_map(|region| view.grantor(region, group, skip))
                     .collect(),
             }
         });
     }
 
-    fn go_on(
+    fn next_decision(
         &mut self,
         request: &SimRequest,
         mut asked: usize,
         now: Moment,
         out: &mut Vec<SentMessage<LimitMessage>>,
     ) -> SimDecision {
-        let list = self.lists[limits::group_of(request.customer)].clone();
+        let list = self.coordinator_lists[limits::group_of(request.customer)].clone();
         loop {
             let customer = request.customer;
             let step = self
@@ -103,7 +103,7 @@
             own,
             member: LimitMember::with_name(&name, run),
             grantor: LimitGrantor::with_name(&name, run),
-            lists: std::array::from_fn(|_| GrantorList::default()),
+            coordinator_lists: std::array::from_fn(|_| GrantorList::default()),
             waiting: collections::HashMap::new(),
         }
     }
@@ -115,19 +115,19 @@
         now: Moment,
         out: &mut Vec<SentMessage<LimitMessage>>,
     ) -> SimDecision {
-        self.go_on(request, 0, now, out)
+        self.next_decision(request, 0, now, out)
     }
 
     fn on_round(&mut self, view: &HostView, now: Moment, out: &mut Vec<SentMessage<LimitMessage>>) {
-        self.look_up_grantors(view, now);
+        self.update_coordinators(view, now);
         let region = view.regions[view.own];
-        let first: Vec<Option<String>> = (0..GROUPS)
+        let preferred: Vec<Option<String>> = (0..GROUPS)
             .map(|group| {
                 let member = &self.member;
-                view.grantor(region, group, |name| member.passes_over(name, now))
+                view.grantor(region, group, |name| member.is_skipped(name, now))
             })
             .collect();
-        let wanted = std::array::from_fn(|group| first[group].as_deref());
+        let wanted = std::array::from_fn(|group| preferred[group].as_deref());
         for offer in self.member.round(view.hosts, wanted, now) {
             let to = HostView::number(&offer.to).unwrap_or(self.own);
             let message = LimitMessage::Offer(offer.offer);
@@ -174,8 +174,8 @@
                 None
             }
             LimitMessage::Answer(answer) => {
-                let is_due = self.waiting.get(&answer.id);
-                is_due.filter(|waiting| HostView::number(&waiting.grantor) == Some(from))?;
+                let waiting = self.waiting.get(&answer.id);
+                waiting.filter(|waiting| HostView::number(&waiting.grantor) == Some(from))?;
                 let waiting = self.waiting.remove(&answer.id)?;
                 let verdict = answer.verdict;
                 self.member
@@ -183,13 +183,13 @@
                 if verdict == RightVerdict::Granted {
                     return Some((answer.id, SimDecision::Admit));
                 }
-                let decision = self.go_on(&waiting.request, waiting.asked, now, out);
+                let decision = self.next_decision(&waiting.request, waiting.asked, now, out);
                 Some((answer.id, decision))
             }
         }
     }
 
-    fn on_waited(
+    fn on_wait_ended(
         &mut self,
         request: &SimRequest,
         now: Moment,
@@ -199,6 +199,6 @@
             return SimDecision::Refuse;
         };
         self.member.on_unanswered(&waiting.grantor, now);
-        self.go_on(request, waiting.asked, now, out)
+        self.next_decision(request, waiting.asked, now, out)
     }
 }
--- a/src/limit_experiment/world.rs
+++ b/src/limit_experiment/world.rs
@@ -14,17 +14,17 @@
 use crate::timer::Moment;
 
 /// How long the other hosts take a host that stopped answering for alive, in milliseconds.
-const NOTICED_MS: u64 = 2_500;
+const FAILURE_DETECTION_MS: u64 = 2_500;
 /// How long the other hosts take to see a started host, in milliseconds.
-const MET_MS: u64 = 300;
+const START_DETECTION_MS: u64 = 300;
 
 /// An event of the simulation.
 #[derive(Debug, Clone)]
 pub(super) enum WorldEvent<M> {
     Arrive { customer: usize },
-    Round { host: usize, life: u64 },
+    Round { host: usize, run: u64 },
     Deliver { from: usize, to: usize, message: M },
-    Waited { host: usize, id: u64, wait: u64 },
+    WaitEnded { host: usize, id: u64, wait: u64 },
     Begin(LimitFault),
     End(LimitFault),
     Start { host: usize },
@@ -34,9 +34,9 @@
 #[derive(Debug)]
 pub(super) struct SimHost<W> {
     pub(super) way: W,
-    pub(super) life: u64,
-    pub(super) lives: bool,
-    pub(super) changed: Moment,
+    pub(super) run: u64,
+    pub(super) is_alive: bool,
+    pub(super) changed_at: Moment,
     pub(super) waiting: HashMap<u64, (SimRequest, usize, u64)>,
 }
 
@@ -44,15 +44,15 @@
 pub struct LimitWorld<'a, W: LimitWay> {
     pub(super) scenario: &'a LimitScenario,
     pub(super) now: Moment,
-    order: u64,
+    sequence: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    bodies: HashMap<u64, WorldEvent<W::Message>>,
+    pending_events: HashMap<u64, WorldEvent<W::Message>>,
     pub(super) hosts: Vec<SimHost<W>>,
     regions: Vec<usize>,
     pub(super) customers: Vec<SimCustomer>,
     by_name: HashMap<u64, usize>,
     pub(super) random: SmallRng,
-    pub(super) part_of: Vec<u32>,
+    pub(super) partition_of: Vec<u32>,
     pub(super) cut_since: Option<Moment>,
     pub(super) gathered: Option<usize>,
     next_id: u64,
@@ -73,12 +73,12 @@
 #[must_use]
 pub fn play<W: LimitWay>(scenario: &LimitScenario, seed: u64) -> LimitReport {
     let mut world = LimitWorld::<W>::begin(scenario, seed);
-    while let Some(Reverse((at, order))) = world.events.pop() {
+    while let Some(Reverse((at, sequence))) = world.events.pop() {
         if at > scenario.length_ms {
             break;
         }
         world.now = Moment(at);
-        if let Some(event) = world.bodies.remove(&order) {
+        if let Some(event) = world.pending_events.remove(&sequence) {
             world.on_event(event);
         }
     }
@@ -90,25 +90,25 @@
         let count = scenario.hosts as usize;
         let start = |own| SimHost {
             way: W::start(own, 1, Moment(0)),
-            life: 1,
-            lives: true,
-            changed: Moment(0),
+            run: 1,
+            is_alive: true,
+            changed_at: Moment(0),
             waiting: HashMap::new(),
         };
-        let paces = scenario.usual_paces();
-        let customers: Vec<SimCustomer> = paces
+        let rates = scenario.usual_rates();
+        let customers: Vec<SimCustomer> = rates
             .iter()
             .enumerate()
-            .map(|(number, pace)| SimCustomer::with_pace(scenario, number, *pace))
+            .map(|(number, rate)| SimCustomer::with_rate(scenario, number, *rate))
             .collect();
         let by_name = customers.iter().enumerate();
         let by_name = by_name.map(|(number, customer)| (customer.name, number));
         let mut world = Self {
             scenario,
             now: Moment(0),
-            order: 0,
+            sequence: 0,
             events: BinaryHeap::new(),
-            bodies: HashMap::new(),
+            pending_events: HashMap::new(),
             hosts: (0..count).map(start).collect(),
             regions: (0..count)
                 .map(|host| host % scenario.regions as usize)
@@ -116,7 +116,7 @@
             by_name: by_name.collect(),
             customers,
             random: SmallRng::seed_from_u64(seed),
-            part_of: vec![0; count],
+            partition_of: vec![0; count],
             cut_since: None,
             gathered: None,
             next_id: 0,
@@ -125,7 +125,7 @@
         };
         for host in 0..count {
             let first = world.random.random_range(0..ROUND_MS);
-            world.schedule(first, WorldEvent::Round { host, life: 1 });
+            world.schedule(first, WorldEvent::Round { host, run: 1 });
         }
         for customer in 0..world.customers.len() {
             world.schedule_arrival(customer);
@@ -137,14 +137,14 @@
     }
 
     pub(super) fn schedule(&mut self, after_ms: u64, event: WorldEvent<W::Message>) {
-        self.order += 1;
+        self.sequence += 1;
         let at = self.now.plus(after_ms);
-        self.events.push(Reverse((at.0, self.order)));
-        self.bodies.insert(self.order, event);
+        self.events.push(Reverse((at.0, self.sequence)));
+        self.pending_events.insert(self.sequence, event);
     }
 
     fn schedule_arrival(&mut self, customer: usize) {
-        let at = self.customers[customer].draw_next(&mut self.random, self.now);
+        let at = self.customers[customer].sample_next(&mut self.random, self.now);
         self.schedule(at.since(self.now), WorldEvent::Arrive { customer });
     }
 
@@ -154,9 +154,9 @@
                 self.schedule_arrival(customer);
                 self.on_arrival(customer);
             }
-            WorldEvent::Round { host, life } => self.on_round(host, life),
+            WorldEvent::Round { host, run } => self.on_round(host, run),
             WorldEvent::Deliver { from, to, message } => self.on_message(from, to, &message),
-            WorldEvent::Waited { host, id, wait } => self.on_waited(host, id, wait),
+            WorldEvent::WaitEnded { host, id, wait } => self.on_wait_ended(host, id, wait),
             WorldEvent::Begin(fault) => self.on_begin(fault),
             WorldEvent::End(fault) => self.on_end(fault),
             WorldEvent::Start { host } => self.on_start(host),
@@ -166,7 +166,7 @@
     fn on_arrival(&mut self, customer: usize) {
         let now = self.now;
         let open: Vec<usize> = (0..self.hosts.len())
-            .filter(|host| self.hosts[*host].lives)
+            .filter(|host| self.hosts[*host].is_alive)
             .filter(|host| {
                 self.gathered
                     .is_none_or(|region| self.regions[*host] == region)
@@ -190,10 +190,10 @@
         let way = &mut self.hosts[host].way;
         let decision = way.on_request(&request, &view, now, &mut out);
         self.send_all(host, out);
-        self.settle(host, request, customer, decision, 0);
+        self.apply_decision(host, request, customer, decision, 0);
     }
 
-    fn settle(
+    fn apply_decision(
         &mut self,
         host: usize,
         request: SimRequest,
@@ -209,24 +209,24 @@
                 let waiting = &mut self.hosts[host].waiting;
                 waiting.insert(request.id, (request, customer, wait));
                 let id = request.id;
-                self.schedule(millis, WorldEvent::Waited { host, id, wait });
+                self.schedule(millis, WorldEvent::WaitEnded { host, id, wait });
             }
         }
     }
 
-    fn on_round(&mut self, host: usize, life: u64) {
-        if !self.hosts[host].lives || self.hosts[host].life != life {
+    fn on_round(&mut self, host: usize, run: u64) {
+        if !self.hosts[host].is_alive || self.hosts[host].run != run {
             return;
         }
         let view = self.view(host);
         let mut out = Vec::new();
         self.hosts[host].way.on_round(&view, self.now, &mut out);
         self.send_all(host, out);
-        self.schedule(ROUND_MS, WorldEvent::Round { host, life });
+        self.schedule(ROUND_MS, WorldEvent::Round { host, run });
     }
 
     fn on_message(&mut self, from: usize, to: usize, message: &W::Message) {
-        if !self.hosts[to].lives || self.is_cut(from, to) {
+        if !self.hosts[to].is_alive || self.is_cut(from, to) {
             return;
         }
         let mut out = Vec::new();
@@ -240,11 +240,11 @@
             return;
         };
         if let Some((request, customer, wait)) = self.hosts[to].waiting.remove(&id) {
-            self.settle(to, request, customer, decision, wait);
+            self.apply_decision(to, request, customer, decision, wait);
         }
     }
 
-    fn on_waited(&mut self, host: usize, id: u64, wait: u64) {
+    fn on_wait_ended(&mut self, host: usize, id: u64, wait: u64) {
         let is_due = |waiting: &(SimRequest, usize, u64)| waiting.2 == wait;
         if !self.hosts[host].waiting.get(&id).is_some_and(is_due) {
             return;
@@ -254,9 +254,9 @@
         };
         let mut out = Vec::new();
         let way = &mut self.hosts[host].way;
-        let decision = way.on_waited(&request, self.now, &mut out);
+        let decision = way.on_wait_ended(&request, self.now, &mut out);
         self.send_all(host, out);
-        self.settle(host, request, customer, decision, wait);
+        self.apply_decision(host, request, customer, decision, wait);
     }
 
     fn send_all(&mut self, from: usize, out: Vec<SentMessage<W::Message>>) {
@@ -267,37 +267,38 @@
             if self.random.random_bool(self.scenario.loss) {
                 continue;
             }
-            let way_ms = match (from == to, self.regions[from] == self.regions[to]) {
+            let latency_ms = match (from == to, self.regions[from] == self.regions[to]) {
                 (true, _) => 0,
-                (false, true) => self.scenario.near_ms,
-                (false, false) => self.scenario.far_ms,
+                (false, true) => self.scenario.local_latency_ms,
+                (false, false) => self.scenario.remote_latency_ms,
             };
             // Some datagrams arrive out of order.
-            let late_ms = if self.random.random_bool(0.02) {
+            let delay_ms = if self.random.random_bool(0.02) {
                 self.random.random_range(0..=300)
             } else {
                 0
             };
             let message = sent.message;
             let event = WorldEvent::Deliver { from, to, message };
-            self.schedule(way_ms + late_ms, event);
+            self.schedule(latency_ms + delay_ms, event);
         }
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cut_since.is_some() && self.part_of[from] != self.part_of[to]
+        self.cut_since.is_some() && self.partition_of[from] != self.partition_of[to]
     }
 
     fn view(&self, own: usize) -> HostView {
-        let noticed = |since: Moment| self.now.since(since) > NOTICED_MS;
-        let lives = |host: usize| {
+        let noticed = |since: Moment| self.now.since(since) > FAILURE_DETECTION_MS;
+        let is_alive = |host: usize| {
             let other = &self.hosts[host];
-            let is_met = self.now.since(other.changed) > MET_MS || other.changed == Moment(0);
+            let is_detected = self.now.since(other.changed_at) > START_DETECTION_MS
+                || other.changed_at == Moment(0);
             let cut_off = self.is_cut(own, host) && self.cut_since.is_some_and(noticed);
-            let seen = if other.lives {
-                is_met
+            let seen = if other.is_alive {
+                is_detected
             } else {
-                !noticed(other.changed)
+                !noticed(other.changed_at)
             };
             host == own || (seen && !cut_off)
         };
@@ -305,7 +306,7 @@
             own,
             hosts: self.scenario.hosts,
             regions: self.regions.clone(),
-            lives: (0..self.hosts.len()).map(lives).collect(),
+            alive: (0..self.hosts.len()).map(is_alive).collect(),
         }
     }
 
--- a/tests/entry_server_limits.rs
+++ b/tests/entry_server_limits.rs
@@ -96,7 +96,7 @@
         for number in 0..words.len() {
             table.on_word(&words[(first + number) % words.len()], Moment(0));
         }
-        assert_eq!(table.word_of(SERVER), Some(words[3]), "from {first}");
+        assert_eq!(table.update_of(SERVER), Some(words[3]), "from {first}");
         assert_eq!(table.word_beyond(&words[0]), Some(words[3]));
         assert_eq!(table.word_beyond(&words[3]), None);
     }
--- a/tests/limit_experiment.rs
+++ b/tests/limit_experiment.rs
@@ -23,17 +23,17 @@
             slack: 20.0,
         },
         length_ms: 16_000,
-        near_ms: 1,
-        far_ms: 35,
+        local_latency_ms: 1,
+        remote_latency_ms: 35,
         loss: 0.01,
         faults,
     }
 }
 
-fn fault(at_ms: u64, for_ms: u64, kind: LimitFaultKind) -> LimitFault {
+fn fault(at_ms: u64, duration_ms: u64, kind: LimitFaultKind) -> LimitFault {
     LimitFault {
         at_ms,
-        for_ms,
+        duration_ms,
         kind,
     }
 }
@@ -48,7 +48,8 @@
         (0_u32..8, 0.1_f64..0.9)
             .prop_map(|(customer, factor)| LimitFaultKind::Lower { customer, factor }),
     ];
-    (0_u64..12_000, 0_u64..8_000, kind).prop_map(|(at_ms, for_ms, kind)| fault(at_ms, for_ms, kind))
+    (0_u64..12_000, 0_u64..8_000, kind)
+        .prop_map(|(at_ms, duration_ms, kind)| fault(at_ms, duration_ms, kind))
 }
 
 /// Number of cases of the property test; `PROPTEST_CASES` overrides it for long manual runs.
