--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -11,7 +11,7 @@
 use super::host::EntryHost;
 use super::pool::{self, ServerSender};
 use super::send_gate::{SendPermit, ServerMessage, WithheldCause};
-use super::server_limit::right::SendRight;
+use super::server_limit::token::SendToken;
 use super::wire::WireProtocol;
 use crate::timer::Moment;
 
@@ -138,7 +138,7 @@
     /// When it must have been answered.
     pub deadline: Moment,
     /// The right to send it.
-    pub right: SendRight,
+    pub right: SendToken,
 }
 
 /// Offers a request to a server until its deadline. Dropping the future closes the connection, which
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -115,7 +115,7 @@
         return;
     }
     host.on_leaving();
-    host.stop_granting();
+    host.stop_coordinating();
     gossip::announce(host);
     let withdrawal = host_entries::withdraw(rc::Rc::clone(host), rc::Rc::clone(store));
     tokio::task::spawn_local(withdrawal);
--- a/src/entry/limit_role/lending.rs
+++ b/src/entry/limit_role/lending.rs
@@ -107,7 +107,7 @@
         let now = self.now();
         let mut next = Some(offer);
         while let Some(offer) = next.take() {
-            let Some(reply) = self.limits.grantor.borrow_mut().on_offer(&offer, now) else {
+            let Some(reply) = self.limits.coordinator.borrow_mut().on_offer(&offer, now) else {
                 return;
             };
             if reply.uses {
@@ -119,7 +119,7 @@
     }
 
     /// Releases the shares that members have leased to this host, which is about to stop.
-    pub(in crate::entry) fn stop_granting(&self) {
-        self.limits.grantor.borrow_mut().stop(self.now());
+    pub(in crate::entry) fn stop_coordinating(&self) {
+        self.limits.coordinator.borrow_mut().stop(self.now());
     }
 }
--- a/src/entry/limit_role/messages.rs
+++ b/src/entry/limit_role/messages.rs
@@ -5,7 +5,7 @@
 use crate::entry::gossip;
 use crate::entry::host::EntryHost;
 use crate::entry::limits;
-use crate::entry::limits::message::{LimitMessage, RightAnswer, RightRequest, RightVerdict};
+use crate::entry::limits::message::{LimitMessage, TokenAnswer, TokenRequest, TokenVerdict};
 use crate::entry::peer_message::PeerMessage;
 use crate::entry::wire::WireProtocol;
 
@@ -21,16 +21,16 @@
         address.filter(|_| *name != self.settings().name)
     }
 
-    fn answer_request(&self, request: RightRequest) -> RightAnswer {
+    fn answer_request(&self, request: TokenRequest) -> TokenAnswer {
         let routes = self.routes();
         let customers = routes.as_ref().and_then(|routes| routes.customers());
         let customer = customers.and_then(|customers| customers.named(request.customer));
         let bound = customer.and_then(|customer| self.limit_bound(customer));
-        let verdict = bound.map_or(RightVerdict::NotHere, |bound| {
-            let mut grantor = self.limits.grantor.borrow_mut();
-            grantor.grant(request.customer, &bound, self.now())
+        let verdict = bound.map_or(TokenVerdict::NotHere, |bound| {
+            let mut coordinator = self.limits.coordinator.borrow_mut();
+            coordinator.grant(request.customer, &bound, self.now())
         });
-        RightAnswer {
+        TokenAnswer {
             id: request.id,
             customer: request.customer,
             verdict,
@@ -47,7 +47,7 @@
     let now = host.now();
     match message {
         LimitMessage::Offer(offer) => {
-            let reply = host.limits.grantor.borrow_mut().on_offer(&offer, now);
+            let reply = host.limits.coordinator.borrow_mut().on_offer(&offer, now);
             if let Some(reply) = reply {
                 let message = LimitMessage::Reply(reply);
                 gossip::send(host, &PeerMessage::Limit(message), &[source]);
@@ -78,20 +78,20 @@
 /// requests a second).
 fn on_request<W: WireProtocol>(
     host: &EntryHost<W>,
-    request: RightRequest,
+    request: TokenRequest,
     source: net::SocketAddr,
 ) {
     let answer = host.answer_request(request);
     let requester = request.reply_to.unwrap_or(source);
-    if answer.verdict == RightVerdict::NotHere
+    if answer.verdict == TokenVerdict::NotHere
         && request.reply_to.is_none()
-        && let Some(grantor) = host.local_coordinator(request.customer)
+        && let Some(coordinator) = host.local_coordinator(request.customer)
     {
-        let forwarded = LimitMessage::Request(RightRequest {
+        let forwarded = LimitMessage::Request(TokenRequest {
             reply_to: Some(source),
             ..request
         });
-        gossip::send(host, &PeerMessage::Limit(forwarded), &[grantor]);
+        gossip::send(host, &PeerMessage::Limit(forwarded), &[coordinator]);
         return;
     }
     let message = LimitMessage::Answer(answer);
--- a/src/entry/limit_role/mod.rs
+++ b/src/entry/limit_role/mod.rs
@@ -14,11 +14,11 @@
 
 use crate::entry::customer::{CustomerRule, CustomerTable, RateLimit};
 use crate::entry::host::EntryHost;
-use crate::entry::limits::grantor::LimitGrantor;
-use crate::entry::limits::member::{GrantorList, LimitMember, RightStep};
-use crate::entry::limits::message::{LimitMessage, LimitTrace, RightRequest, RightVerdict};
+use crate::entry::limits::coordinator::LimitCoordinator;
+use crate::entry::limits::member::{AdmissionStep, CoordinatorList, LimitMember};
+use crate::entry::limits::message::{LimitMessage, LimitTrace, TokenRequest, TokenVerdict};
 use crate::entry::limits::{
-    self, FAR_WAIT_MS, GROUPS, LimitBound, LimitTolerance, NEAR_WAIT_MS, RIGHT_LIFE_MS,
+    self, FAR_WAIT_MS, GROUPS, LimitBound, LimitTolerance, NEAR_WAIT_MS, TOKEN_LIFETIME_MS,
 };
 use crate::entry::peer_message::PeerMessage;
 use crate::entry::pending_answers::PendingAnswers;
@@ -42,10 +42,10 @@
 #[derive(Debug)]
 pub struct LimitRole {
     member: cell::RefCell<LimitMember>,
-    grantor: cell::RefCell<LimitGrantor>,
-    coordinator_lists: cell::RefCell<[GrantorList; GROUPS]>,
+    coordinator: cell::RefCell<LimitCoordinator>,
+    coordinator_lists: cell::RefCell<[CoordinatorList; GROUPS]>,
     coordinator_addresses: cell::RefCell<collections::HashMap<String, net::SocketAddr>>,
-    pending_requests: PendingAnswers<RightVerdict>,
+    pending_requests: PendingAnswers<TokenVerdict>,
     /// Notified when a coordinator uses a share of this host.
     lease_began: Notify,
     /// Notified when a configuration, which may contain limits, is applied.
@@ -58,7 +58,7 @@
     pub fn of_host(name: &str, run: u64) -> Self {
         Self {
             member: cell::RefCell::new(LimitMember::with_name(name, run)),
-            grantor: cell::RefCell::new(LimitGrantor::with_name(name, run)),
+            coordinator: cell::RefCell::new(LimitCoordinator::with_name(name, run)),
             coordinator_lists: cell::RefCell::default(),
             coordinator_addresses: cell::RefCell::default(),
             pending_requests: PendingAnswers::default(),
@@ -110,14 +110,14 @@
                 member.next_step(name, bound, &coordinator_lists[group], asked, self.now())
             };
             match step {
-                RightStep::Admit => return Ok(()),
-                RightStep::Refuse { room_in_ms } => {
-                    trace.room_in_ms = room_in_ms;
+                AdmissionStep::Admit => return Ok(()),
+                AdmissionStep::Refuse { available_in_ms } => {
+                    trace.available_in_ms = available_in_ms;
                     return Err(self.over_limit(group, trace));
                 }
-                RightStep::Ask(grantor) => {
-                    let verdict = self.request_token(&grantor, name, bound).await;
-                    if verdict == Some(RightVerdict::Granted) {
+                AdmissionStep::Ask(coordinator) => {
+                    let verdict = self.request_token(&coordinator, name, bound).await;
+                    if verdict == Some(TokenVerdict::Granted) {
                         return Ok(());
                     }
                     trace.on_verdict(verdict);
@@ -150,36 +150,36 @@
     /// Asks a coordinator for a token; `None` if it does not answer in time.
     async fn request_token(
         &self,
-        grantor: &str,
+        coordinator: &str,
         customer: u64,
         bound: &LimitBound,
-    ) -> Option<RightVerdict> {
-        let verdict = if grantor == self.settings().name {
-            let mut own = self.limits.grantor.borrow_mut();
+    ) -> Option<TokenVerdict> {
+        let verdict = if coordinator == self.settings().name {
+            let mut own = self.limits.coordinator.borrow_mut();
             Some(own.grant(customer, bound, self.now()))
         } else {
-            self.request_token_from(grantor, customer).await
+            self.request_token_from(coordinator, customer).await
         };
         let mut member = self.limits.member.borrow_mut();
         match verdict {
-            Some(verdict) => member.on_verdict(grantor, customer, verdict, self.now()),
-            None => member.on_unanswered(grantor, self.now()),
+            Some(verdict) => member.on_verdict(coordinator, customer, verdict, self.now()),
+            None => member.on_unanswered(coordinator, self.now()),
         }
         verdict
     }
 
-    async fn request_token_from(&self, grantor: &str, customer: u64) -> Option<RightVerdict> {
+    async fn request_token_from(&self, coordinator: &str, customer: u64) -> Option<TokenVerdict> {
         let address = self
             .limits
             .coordinator_addresses
             .borrow()
-            .get(grantor)
+            .get(coordinator)
             .copied()?;
-        let is_near =
-            self.limits.coordinator_lists.borrow()[limits::group_of(customer)].is_nearest(grantor);
+        let is_near = self.limits.coordinator_lists.borrow()[limits::group_of(customer)]
+            .is_local(coordinator);
         let asked_at = self.now();
         let pending = self.limits.pending_requests.register();
-        let request = LimitMessage::Request(RightRequest {
+        let request = LimitMessage::Request(TokenRequest {
             id: pending.id,
             customer,
             reply_to: None,
@@ -188,14 +188,14 @@
         let wait_ms = if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS };
         let wait = time::Duration::from_millis(wait_ms);
         let verdict = self.limits.pending_requests.wait_for(pending, wait).await;
-        let is_late = self.now().since(asked_at) > RIGHT_LIFE_MS;
-        verdict.filter(|verdict| !is_late || *verdict != RightVerdict::Granted)
+        let is_late = self.now().since(asked_at) > TOKEN_LIFETIME_MS;
+        verdict.filter(|verdict| !is_late || *verdict != TokenVerdict::Granted)
     }
 
     fn over_limit(&self, group: usize, trace: LimitTrace) -> RequestFailure {
         let now = self.now();
         let factor = self.random.borrow_mut().random_range(RETRY_AFTER_FACTORS);
-        let millis = (trace.room_in_ms as f64 * factor).max(MIN_RETRY_AFTER_MS);
+        let millis = (trace.available_in_ms as f64 * factor).max(MIN_RETRY_AFTER_MS);
         let member = self.limits.member.borrow();
         let trace = LimitTrace {
             hosts: member.hosts(),
--- a/src/entry/limits/grantor.rs
+++ b/src/entry/limits/coordinator.rs
@@ -6,7 +6,7 @@
 //! against 1.3 % with pools.
 
 use super::bucket::BucketPace;
-use super::message::{GrantorStamp, LeaseOffer, LeaseReply, RightVerdict};
+use super::message::{CoordinatorStamp, LeaseOffer, LeaseReply, TokenVerdict};
 use super::{GROUPS, LEASE_MS, LimitBound, START_SHARE};
 use crate::timer::Moment;
 
@@ -15,7 +15,7 @@
 
 /// The pools of one host, one per group.
 #[derive(Debug)]
-pub struct LimitGrantor {
+pub struct LimitCoordinator {
     name: String,
     run: u64,
     stopped: bool,
@@ -64,7 +64,7 @@
     counted: PoolInflow,
 }
 
-impl LimitGrantor {
+impl LimitCoordinator {
     /// A coordinator without members.
     #[must_use]
     pub fn with_name(name: &str, run: u64) -> Self {
@@ -78,7 +78,7 @@
 
     /// Handles a lease offer of a member; `None` for an unknown group.
     pub fn on_offer(&mut self, offer: &LeaseOffer, now: Moment) -> Option<LeaseReply> {
-        let stamp = GrantorStamp {
+        let stamp = CoordinatorStamp {
             run: self.run,
             at_ms: now.0,
         };
@@ -105,21 +105,21 @@
     }
 
     /// Grants one token for a customer if its pool has one.
-    pub fn grant(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> RightVerdict {
+    pub fn grant(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> TokenVerdict {
         let pool = &mut self.pools[super::group_of(customer)];
         pool.advance(now);
         if pool.total_share <= 0.0 || self.stopped {
-            return RightVerdict::NotHere;
+            return TokenVerdict::NotHere;
         }
         let bucket = pool.bucket(customer, bound);
         if bucket.tokens >= 1.0 {
             bucket.tokens -= 1.0;
-            return RightVerdict::Granted;
+            return TokenVerdict::Granted;
         }
         let missing = 1.0 - bucket.tokens;
         let wait_ms = 1_000.0 * missing / (bucket.pace.per_s * pool.total_share);
-        RightVerdict::Denied {
-            room_in_ms: wait_ms.clamp(1.0, MAX_WAIT_MS) as u32,
+        TokenVerdict::Denied {
+            available_in_ms: wait_ms.clamp(1.0, MAX_WAIT_MS) as u32,
         }
     }
 
--- a/src/entry/limits/member.rs
+++ b/src/entry/limits/member.rs
@@ -2,7 +2,7 @@
 //! token.
 
 use super::bucket::TokenBucket;
-use super::message::{GrantorStamp, LeaseOffer, LeaseReply, RightVerdict};
+use super::message::{CoordinatorStamp, LeaseOffer, LeaseReply, TokenVerdict};
 use super::{GROUPS, LEASE_MS, LimitBound, MOST_ASKED, ROUND_MS, START_SHARE};
 use crate::entry::hash;
 use crate::timer::Moment;
@@ -22,22 +22,22 @@
 
 /// The coordinators of one group: that of this region first, then one of each other region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct GrantorList {
+pub struct CoordinatorList {
     /// Names, nearest first.
     pub names: Vec<String>,
 }
 
-impl GrantorList {
+impl CoordinatorList {
     /// Whether this coordinator is the one of the own region.
     #[must_use]
-    pub fn is_nearest(&self, grantor: &str) -> bool {
-        self.names.first().is_some_and(|name| name == grantor)
+    pub fn is_local(&self, coordinator: &str) -> bool {
+        self.names.first().is_some_and(|name| name == coordinator)
     }
 }
 
 /// The next step for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RightStep {
+pub enum AdmissionStep {
     /// Let the request through.
     Admit,
     /// Ask this coordinator for a token.
@@ -45,7 +45,7 @@
     /// Refuse the request.
     Refuse {
         /// When a token will be available, in milliseconds.
-        room_in_ms: u64,
+        available_in_ms: u64,
     },
 }
 
@@ -95,8 +95,8 @@
 /// The coordinator that a share is leased to, or is going to be.
 #[derive(Debug, Clone)]
 struct ShareLease {
-    grantor: String,
-    stamp: Option<GrantorStamp>,
+    coordinator: String,
+    stamp: Option<CoordinatorStamp>,
     /// When the stamp was received.
     stamp_at: Moment,
     /// When the coordinator last answered, or the lease began.
@@ -154,9 +154,9 @@
 
     /// Whether a coordinator is skipped because it did not answer.
     #[must_use]
-    pub fn is_skipped(&self, grantor: &str, now: Moment) -> bool {
+    pub fn is_skipped(&self, coordinator: &str, now: Moment) -> bool {
         self.silent_until
-            .get(grantor)
+            .get(coordinator)
             .is_some_and(|until| now < *until)
     }
 
@@ -203,10 +203,10 @@
         if let Some(lease) = &mut share.lease {
             if now.since(lease.last_seen) > SILENCE_TIMEOUT_MS {
                 let until = now.plus(SILENT_SKIP_MS);
-                self.silent_until.insert(lease.grantor.clone(), until);
+                self.silent_until.insert(lease.coordinator.clone(), until);
                 lease.is_ending = true;
             }
-            lease.is_ending |= preferred != Some(lease.grantor.as_str());
+            lease.is_ending |= preferred != Some(lease.coordinator.as_str());
             if !lease.is_ending || now <= share.leased_until {
                 return;
             }
@@ -223,7 +223,7 @@
             return;
         }
         share.lease = Some(ShareLease {
-            grantor: preferred.to_owned(),
+            coordinator: preferred.to_owned(),
             stamp: None,
             stamp_at: now,
             last_seen: now,
@@ -249,7 +249,7 @@
         let is_ending = lease.is_ending;
         let stamp = lease.stamp;
         Some(AddressedOffer {
-            to: lease.grantor.clone(),
+            to: lease.coordinator.clone(),
             offer: LeaseOffer {
                 host: self.name.clone(),
                 run: self.run,
@@ -270,7 +270,7 @@
         let group = usize::from(reply.group);
         let share = self.shares.get_mut(group)?;
         let lease = share.lease.as_mut()?;
-        if lease.grantor != reply.host {
+        if lease.coordinator != reply.host {
             return None;
         }
         lease.last_seen = now;
@@ -301,35 +301,36 @@
         &mut self,
         customer: u64,
         bound: &LimitBound,
-        grantors: &GrantorList,
+        coordinators: &CoordinatorList,
         asked: usize,
         now: Moment,
-    ) -> RightStep {
+    ) -> AdmissionStep {
         if asked == 0 && self.take_own_token(customer, bound, now) {
-            return RightStep::Admit;
+            return AdmissionStep::Admit;
         }
-        let mut room_in_ms = None;
-        for grantor in &grantors.names {
-            match self.useless_until(customer, grantor, now) {
+        let mut available_in_ms = None;
+        for coordinator in &coordinators.names {
+            match self.useless_until(customer, coordinator, now) {
                 Some(until) => {
                     let wait_ms = until.since(now);
-                    room_in_ms =
-                        Some(room_in_ms.map_or(wait_ms, |shortest: u64| shortest.min(wait_ms)));
+                    available_in_ms = Some(
+                        available_in_ms.map_or(wait_ms, |shortest: u64| shortest.min(wait_ms)),
+                    );
                 }
-                None if asked < MOST_ASKED => return RightStep::Ask(grantor.clone()),
+                None if asked < MOST_ASKED => return AdmissionStep::Ask(coordinator.clone()),
                 None => {}
             }
         }
-        RightStep::Refuse {
-            room_in_ms: room_in_ms.unwrap_or(ROUND_MS),
+        AdmissionStep::Refuse {
+            available_in_ms: available_in_ms.unwrap_or(ROUND_MS),
         }
     }
 
     /// Until when asking this coordinator is known to be useless.
-    fn useless_until(&self, customer: u64, grantor: &str, now: Moment) -> Option<Moment> {
-        let name = hash::of_name(grantor);
+    fn useless_until(&self, customer: u64, coordinator: &str, now: Moment) -> Option<Moment> {
+        let name = hash::of_name(coordinator);
         let waits = [
-            self.silent_until.get(grantor),
+            self.silent_until.get(coordinator),
             self.unanswered_until.get(&name),
             self.denied_until.get(&(customer, name)),
         ];
@@ -338,21 +339,28 @@
     }
 
     /// Records a coordinator's answer about a customer.
-    pub fn on_verdict(&mut self, grantor: &str, customer: u64, verdict: RightVerdict, now: Moment) {
-        self.unanswered_until.remove(&hash::of_name(grantor));
+    pub fn on_verdict(
+        &mut self,
+        coordinator: &str,
+        customer: u64,
+        verdict: TokenVerdict,
+        now: Moment,
+    ) {
+        self.unanswered_until.remove(&hash::of_name(coordinator));
         let wait_ms = match verdict {
-            RightVerdict::Granted => return,
-            RightVerdict::Denied { room_in_ms } => u64::from(room_in_ms),
-            RightVerdict::NotHere => NOT_HERE_SKIP_MS,
+            TokenVerdict::Granted => return,
+            TokenVerdict::Denied { available_in_ms } => u64::from(available_in_ms),
+            TokenVerdict::NotHere => NOT_HERE_SKIP_MS,
         };
-        let key = (customer, hash::of_name(grantor));
+        let key = (customer, hash::of_name(coordinator));
         self.denied_until.insert(key, now.plus(wait_ms));
     }
 
     /// Records that a coordinator left a request unanswered.
-    pub fn on_unanswered(&mut self, grantor: &str, now: Moment) {
+    pub fn on_unanswered(&mut self, coordinator: &str, now: Moment) {
         let until = now.plus(UNANSWERED_SKIP_MS);
-        self.unanswered_until.insert(hash::of_name(grantor), until);
+        self.unanswered_until
+            .insert(hash::of_name(coordinator), until);
     }
 
     /// Takes a token from this host's own share, unless the share is leased.
--- a/src/entry/limits/message.rs
+++ b/src/entry/limits/message.rs
@@ -7,14 +7,14 @@
 /// A time of the coordinator's clock, which members echo back. It tells the coordinator how long it
 /// may use a share, no matter how long a datagram was in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct GrantorStamp {
+pub struct CoordinatorStamp {
     /// The run of the coordinator's process; stamps of other runs are ignored.
     pub run: u64,
     /// Milliseconds on the clock of that run.
     pub at_ms: u64,
 }
 
-impl GrantorStamp {
+impl CoordinatorStamp {
     /// The moment on the coordinator's clock.
     #[must_use]
     pub const fn moment(&self) -> Moment {
@@ -39,7 +39,7 @@
     /// only.
     pub unused: bool,
     /// The newest stamp that the member received from the coordinator.
-    pub stamp: Option<GrantorStamp>,
+    pub stamp: Option<CoordinatorStamp>,
 }
 
 /// A coordinator's reply to an offer.
@@ -48,7 +48,7 @@
     /// The coordinator's name.
     pub host: String,
     /// The coordinator's time.
-    pub stamp: GrantorStamp,
+    pub stamp: CoordinatorStamp,
     /// The group of customers.
     pub group: u8,
     /// The number of the newest offer that the coordinator has read.
@@ -59,7 +59,7 @@
 
 /// A member asks for a token to let one request through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct RightRequest {
+pub struct TokenRequest {
     /// Matches the answer to this request.
     pub id: u64,
     /// A hash of the customer's name.
@@ -70,24 +70,25 @@
 
 /// A coordinator's answer to a token request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct RightAnswer {
+pub struct TokenAnswer {
     /// The identity of the request.
     pub id: u64,
     /// A hash of the customer's name.
     pub customer: u64,
     /// The decision.
-    pub verdict: RightVerdict,
+    pub verdict: TokenVerdict,
 }
 
 /// Whether a token was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum RightVerdict {
+pub enum TokenVerdict {
     /// A token was granted.
     Granted,
     /// The pool has no token left.
     Denied {
         /// When it will have one, in milliseconds.
-        room_in_ms: u32,
+        #[serde(rename = "room_in_ms")]
+        available_in_ms: u32,
     },
     /// The host pools no shares for that customer, or does not know it.
     NotHere,
@@ -101,9 +102,9 @@
     /// To a member.
     Reply(LeaseReply),
     /// To a coordinator.
-    Request(RightRequest),
+    Request(TokenRequest),
     /// To a member.
-    Answer(RightAnswer),
+    Answer(TokenAnswer),
 }
 
 /// What a host learned before it refused a request because of its customer's limit.
@@ -120,7 +121,8 @@
     /// Whether its own share was leased.
     pub lent: bool,
     /// When a token will be available, in milliseconds, as far as is known.
-    pub room_in_ms: u64,
+    #[serde(rename = "room_in_ms")]
+    pub available_in_ms: u64,
 }
 
 impl LimitTrace {
@@ -131,11 +133,11 @@
     }
 
     /// Counts a coordinator that granted no token; `None` for no answer.
-    pub const fn on_verdict(&mut self, verdict: Option<RightVerdict>) {
+    pub const fn on_verdict(&mut self, verdict: Option<TokenVerdict>) {
         match verdict {
-            Some(RightVerdict::Granted) => {}
-            Some(RightVerdict::Denied { .. }) => self.denied += 1,
-            Some(RightVerdict::NotHere) => self.not_here += 1,
+            Some(TokenVerdict::Granted) => {}
+            Some(TokenVerdict::Denied { .. }) => self.denied += 1,
+            Some(TokenVerdict::NotHere) => self.not_here += 1,
             None => self.unanswered += 1,
         }
     }
--- a/src/entry/limits/mod.rs
+++ b/src/entry/limits/mod.rs
@@ -1,7 +1,7 @@
 //! Limits on the requests that all hosts together let through for a customer.
 //!
 //! Each host owns a share of every limit. It leases that share, for a short time, to one host of
-//! its region, the [`grantor`], which pools the shares of all members and grants single tokens on
+//! its region, the [`coordinator`], which pools the shares of all members and grants single tokens on
 //! request; [`member`] is the other side. A host that reaches no coordinator uses its own share.
 //! Tokens are only ever moved, so their sum stays within the bound of each sliding window,
 //! [`LimitBound::allowed`], whatever is partitioned, killed or delayed; docs/design/limits.md has
@@ -11,7 +11,7 @@
 //! are returned.
 
 pub mod bucket;
-pub mod grantor;
+pub mod coordinator;
 pub mod member;
 pub mod message;
 
@@ -30,7 +30,7 @@
 pub const ROUND_MS: u64 = 200;
 /// A granted token must be used within this time after it was requested, in milliseconds: the round
 /// trip between distant regions, and some delay on small hosts.
-pub const RIGHT_LIFE_MS: u64 = 250;
+pub const TOKEN_LIFETIME_MS: u64 = 250;
 /// The maximum number of coordinators that are asked for one request, so that a refusal comes after
 /// [`NEAR_WAIT_MS`] and [`FAR_WAIT_MS`] at the latest.
 pub const MOST_ASKED: usize = 2;
@@ -92,7 +92,7 @@
     #[must_use]
     pub fn pace(&self) -> BucketPace {
         let allowed = self.allowed();
-        let counted_s = self.tolerance.window_s + RIGHT_LIFE_MS as f64 / 1_000.0;
+        let counted_s = self.tolerance.window_s + TOKEN_LIFETIME_MS as f64 / 1_000.0;
         // Half of the excess raises the rate, the other half the capacity.
         let target_per_s = self.limit.per_s * (1.0 + self.tolerance.excess / 2.0);
         let per_s = target_per_s.min(allowed * (1.0 - MIN_CAPACITY_SHARE) / counted_s);
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -14,7 +14,7 @@
 use super::quarantine_role::SuspectAdmission;
 use super::request_failure::RequestFailure;
 use super::server_limit;
-use super::server_limit::right::SendRight;
+use super::server_limit::token::SendToken;
 use super::wire::WireProtocol;
 use crate::rollout::plan::VersionRule;
 use crate::timer::Moment;
@@ -102,7 +102,7 @@
 
 impl<W: WireProtocol> OfferSeries<'_, W> {
     /// The server for the next offer, and the right to send to it; `None` if there must be no more.
-    async fn next_server(&mut self) -> Result<Option<(ChosenServer, SendRight)>, RequestFailure> {
+    async fn next_server(&mut self) -> Result<Option<(ChosenServer, SendToken)>, RequestFailure> {
         if self.open.deadline.since(self.host.now()) < LEAST_TIME_MS {
             return Ok(None);
         }
@@ -123,10 +123,10 @@
     }
 
     /// Chooses a server, and finds the right to send to it where it names a limit.
-    async fn choose_with_right(&self) -> Result<(ChosenServer, SendRight), RequestFailure> {
+    async fn choose_with_right(&self) -> Result<(ChosenServer, SendToken), RequestFailure> {
         for _ in 0..server_limit::MOST_ASKED {
             let chosen = self.choose()?;
-            if let Some(right) = self.host.find_send_right(&chosen.server).await {
+            if let Some(right) = self.host.acquire_send_token(&chosen.server).await {
                 return Ok((chosen, right));
             }
         }
@@ -225,7 +225,7 @@
     async fn offer(
         &mut self,
         chosen: ChosenServer,
-        right: SendRight,
+        right: SendToken,
     ) -> Result<Option<AnsweredRequest>, RequestFailure> {
         let ChosenServer { server, expected } = chosen;
         let object = self.open.object;
--- a/src/entry/send_gate.rs
+++ b/src/entry/send_gate.rs
@@ -13,7 +13,7 @@
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::pool::ServerSender;
-use super::server_limit::right::SendRight;
+use super::server_limit::token::SendToken;
 use super::server_notice::ServerStanding;
 use super::wire::WireProtocol;
 use crate::event::EventCode;
@@ -53,10 +53,10 @@
     pub(super) fn obtain<W: WireProtocol>(
         host: &EntryHost<W>,
         server: &FleetServer,
-        right: SendRight,
+        right: SendToken,
         id: Option<&str>,
     ) -> Result<Self, WithheldCause> {
-        if !host.is_right_good(server, right) {
+        if !host.is_token_valid(server, right) {
             return Err(WithheldCause::NoRight);
         }
         if host.evacuated_halls().contains(&*server.hall) {
--- a/src/entry/server_limit/message.rs
+++ b/src/entry/server_limit/message.rs
@@ -3,7 +3,7 @@
 use std::net;
 
 use super::rate::RequestRate;
-use crate::entry::limits::message::RightVerdict;
+use crate::entry::limits::message::TokenVerdict;
 
 /// The newest state that a host knows of one server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -43,7 +43,7 @@
 
 /// A host asks for a token to send one request to a server.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct SendRightRequest {
+pub struct SendTokenRequest {
     /// Matches the answer to this request.
     pub id: u64,
     /// The server, and what the host knows of its limit.
@@ -54,13 +54,13 @@
 
 /// A limit owner's answer to a token request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct SendRightAnswer {
+pub struct SendTokenAnswer {
     /// The identity of the request.
     pub id: u64,
     /// What the limit owner knows of the limit.
     pub word: LimitWord,
     /// The decision.
-    pub verdict: RightVerdict,
+    pub verdict: TokenVerdict,
 }
 
 /// A datagram about the limits of servers.
@@ -69,7 +69,7 @@
     /// New updates, or those that the receiver was found to be missing.
     Words(Vec<LimitWord>),
     /// To a limit owner.
-    Ask(SendRightRequest),
+    Ask(SendTokenRequest),
     /// From a limit owner.
-    Answer(SendRightAnswer),
+    Answer(SendTokenAnswer),
 }
--- a/src/entry/server_limit/mod.rs
+++ b/src/entry/server_limit/mod.rs
@@ -17,8 +17,8 @@
 
 pub mod message;
 pub mod rate;
-pub mod right;
 pub mod table;
+pub mod token;
 
 /// Upper bound of the wait that a denial reports, in milliseconds: by then the limit may have
 /// changed.
@@ -36,7 +36,7 @@
 /// attempt costs a round trip to a limit owner.
 pub const MOST_ASKED: usize = 3;
 /// A token must be used within this time after it was requested, in milliseconds.
-pub const RIGHT_LIFE_MS: u64 = 250;
+pub const TOKEN_LIFETIME_MS: u64 = 250;
 /// Updates in one heartbeat, taken round robin, for hosts that missed them; about 16 bytes each.
 pub const WORDS_PER_HEARTBEAT: usize = 8;
 /// Updates in one datagram; about 1,000 bytes.
--- a/src/entry/server_limit/table.rs
+++ b/src/entry/server_limit/table.rs
@@ -4,7 +4,7 @@
 use super::rate::{NamedLimit, RequestRate};
 use super::{HELD_S, LEAST_PER_S, LONGEST_WAIT_MS, OVER_TOLD_MS, WORDS_PER_HEARTBEAT};
 use crate::entry::limits::bucket::{BucketPace, TokenBucket};
-use crate::entry::limits::message::RightVerdict;
+use crate::entry::limits::message::TokenVerdict;
 use crate::timer::Moment;
 
 /// An uninterrupted period in which a server advertises a limit, as this host knows it.
@@ -169,12 +169,12 @@
     }
 
     /// Grants one token as the limit owner of `server`, or denies it and says when to expect one.
-    pub fn grant(&mut self, server: u64, now: Moment) -> RightVerdict {
+    pub fn grant(&mut self, server: u64, now: Moment) -> TokenVerdict {
         let Some(entry) = self.entries.get_mut(&server) else {
-            return RightVerdict::NotHere;
+            return TokenVerdict::NotHere;
         };
         let Some(rate) = entry.word.rate else {
-            return RightVerdict::Granted;
+            return TokenVerdict::Granted;
         };
         if !entry.is_owner {
             entry.is_owner = true;
@@ -269,10 +269,10 @@
 
     /// Denials report times that are one token apart, so that many hosts that each want few tokens
     /// do not all ask for every token.
-    fn grant(&mut self, pace: &BucketPace, now: Moment) -> RightVerdict {
+    fn grant(&mut self, pace: &BucketPace, now: Moment) -> TokenVerdict {
         self.bucket.fill(pace, now);
         if self.bucket.take(1.0) {
-            return RightVerdict::Granted;
+            return TokenVerdict::Granted;
         }
         let token_interval_ms = (1_000.0 / pace.per_s).min(LONGEST_WAIT_MS as f64);
         let missing_ms = (1.0 - self.bucket.tokens()) * token_interval_ms;
@@ -281,8 +281,8 @@
         let available_at = next.max(self.promised_until.plus(token_interval_ms as u64));
         let available_at = available_at.min(now.plus(LONGEST_WAIT_MS));
         self.promised_until = available_at;
-        RightVerdict::Denied {
-            room_in_ms: u32::try_from(available_at.since(now))
+        TokenVerdict::Denied {
+            available_in_ms: u32::try_from(available_at.since(now))
                 .unwrap_or(u32::MAX)
                 .max(1),
         }
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -8,18 +8,18 @@
 use super::fleet_server::FleetServer;
 use super::gossip;
 use super::host::EntryHost;
-use super::limits::message::RightVerdict;
+use super::limits::message::TokenVerdict;
 use super::limits::{FAR_WAIT_MS, NEAR_WAIT_MS};
 use super::peer_message::PeerMessage;
 use super::peers::{KeeperPlace, KeeperQuery};
 use super::pending_answers::PendingAnswers;
 use super::server_limit::message::{
-    LimitWord, SendRightAnswer, SendRightRequest, ServerLimitMessage,
+    LimitWord, SendTokenAnswer, SendTokenRequest, ServerLimitMessage,
 };
 use super::server_limit::rate::{NamedLimit, RequestRate};
-use super::server_limit::right::SendRight;
 use super::server_limit::table::{LimitChange, LimitSpell, ServerLimitTable};
-use super::server_limit::{RIGHT_LIFE_MS, UNANSWERED_MS, WORDS_PER_DATAGRAM};
+use super::server_limit::token::SendToken;
+use super::server_limit::{TOKEN_LIFETIME_MS, UNANSWERED_MS, WORDS_PER_DATAGRAM};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct ServerLimitRole {
     table: cell::RefCell<ServerLimitTable>,
-    pending_requests: PendingAnswers<SendRightAnswer>,
+    pending_requests: PendingAnswers<SendTokenAnswer>,
 }
 
 /// What an answer advertises about its server's limit.
@@ -93,28 +93,28 @@
 
     /// Acquires a token to send one request to `server`. If there is none, the server is skipped in
     /// later choices until a token can be expected.
-    pub(super) async fn find_send_right(&self, server: &FleetServer) -> Option<SendRight> {
+    pub(super) async fn acquire_send_token(&self, server: &FleetServer) -> Option<SendToken> {
         let word = self
             .server_limits
             .table
             .borrow()
             .update_of(server.start_hash);
         let Some(word) = word else {
-            return Some(SendRight::NotNeeded);
+            return Some(SendToken::NotNeeded);
         };
-        let until = self.now().plus(RIGHT_LIFE_MS);
+        let until = self.now().plus(TOKEN_LIFETIME_MS);
         let verdict = self.request_send_token(server, word).await;
         let mut metrics = self.metrics.borrow_mut();
         let wait_ms = match verdict {
-            Some(RightVerdict::Granted) => {
+            Some(TokenVerdict::Granted) => {
                 metrics.send_rights += 1;
-                return Some(SendRight::Until(until));
+                return Some(SendToken::Until(until));
             }
-            Some(RightVerdict::Denied { room_in_ms }) => {
+            Some(TokenVerdict::Denied { available_in_ms }) => {
                 metrics.send_rights_denied += 1;
-                u64::from(room_in_ms)
+                u64::from(available_in_ms)
             }
-            Some(RightVerdict::NotHere) | None => {
+            Some(TokenVerdict::NotHere) | None => {
                 metrics.send_rights_unanswered += 1;
                 UNANSWERED_MS
             }
@@ -124,18 +124,18 @@
         None
     }
 
-    /// Whether `right` permits sending one request to `server` now.
-    pub(super) fn is_right_good(&self, server: &FleetServer, right: SendRight) -> bool {
+    /// Whether `token` permits sending one request to `server` now.
+    pub(super) fn is_token_valid(&self, server: &FleetServer, token: SendToken) -> bool {
         let limits = self.server_limits.table.borrow();
         let is_limited = limits.rate_of(server.start_hash).is_some();
-        right.is_good(is_limited, self.now())
+        token.is_valid(is_limited, self.now())
     }
 
     async fn request_send_token(
         &self,
         server: &FleetServer,
         word: LimitWord,
-    ) -> Option<RightVerdict> {
+    ) -> Option<TokenVerdict> {
         match self.limit_owner_of(server) {
             KeeperPlace::Own => Some(self.grant_send_token(server)),
             KeeperPlace::Nowhere => None,
@@ -151,10 +151,10 @@
         address: net::SocketAddr,
         is_near: bool,
         word: LimitWord,
-    ) -> Option<RightVerdict> {
+    ) -> Option<TokenVerdict> {
         let asked_at = self.now();
         let pending = self.server_limits.pending_requests.register();
-        let request = ServerLimitMessage::Ask(SendRightRequest {
+        let request = ServerLimitMessage::Ask(SendTokenRequest {
             id: pending.id,
             word,
             reply_to: None,
@@ -168,7 +168,7 @@
             .wait_for(pending, wait)
             .await?;
         self.apply_limit_update(&answer.word, "keeper");
-        let is_late = self.now().since(asked_at) > RIGHT_LIFE_MS;
+        let is_late = self.now().since(asked_at) > TOKEN_LIFETIME_MS;
         (!is_late).then_some(answer.verdict)
     }
 
@@ -186,9 +186,9 @@
 
     /// Grants a token as the limit owner. A host that has not yet seen the other hosts of its
     /// region grants none: it might take itself for the owner of every server's limit.
-    fn grant_send_token(&self, server: &FleetServer) -> RightVerdict {
+    fn grant_send_token(&self, server: &FleetServer) -> TokenVerdict {
         if !self.has_met_region() {
-            return RightVerdict::NotHere;
+            return TokenVerdict::NotHere;
         }
         let mut table = self.server_limits.table.borrow_mut();
         table.grant(server.start_hash, self.now())
@@ -251,7 +251,7 @@
 
     /// Handles a token request of another host: grants a token as the limit owner, or forwards the
     /// request once.
-    fn on_send_token_request(&self, request: &SendRightRequest, source: net::SocketAddr) {
+    fn on_send_token_request(&self, request: &SendTokenRequest, source: net::SocketAddr) {
         self.apply_limit_update(&request.word, "peer");
         // A server that is unknown here has no known limit owner.
         let server = self.fleet.borrow().of_start(request.word.server);
@@ -266,12 +266,12 @@
                     self.forward_token_request(request, source, address);
                     return;
                 }
-                RightVerdict::NotHere
+                TokenVerdict::NotHere
             }
-            _ => RightVerdict::NotHere,
+            _ => TokenVerdict::NotHere,
         };
         let newer = self.server_limits.table.borrow().word_beyond(&request.word);
-        let answer = ServerLimitMessage::Answer(SendRightAnswer {
+        let answer = ServerLimitMessage::Answer(SendTokenAnswer {
             id: request.id,
             word: newer.unwrap_or(request.word),
             verdict,
@@ -282,11 +282,11 @@
 
     fn forward_token_request(
         &self,
-        request: &SendRightRequest,
+        request: &SendTokenRequest,
         requester: net::SocketAddr,
         owner: net::SocketAddr,
     ) {
-        let forwarded = ServerLimitMessage::Ask(SendRightRequest {
+        let forwarded = ServerLimitMessage::Ask(SendTokenRequest {
             reply_to: Some(requester),
             ..request.clone()
         });
--- a/src/limit_experiment/fixed_parts.rs
+++ b/src/limit_experiment/fixed_parts.rs
@@ -19,7 +19,7 @@
     /// The request would exceed the customer's limit.
     Refused {
         /// When a token will be available, in milliseconds.
-        room_in_ms: u64,
+        available_in_ms: u64,
     },
 }
 
@@ -56,7 +56,7 @@
             bound.tolerance.window_s
         };
         FixedVerdict::Refused {
-            room_in_ms: (wait_s.min(bound.tolerance.window_s) * 1_000.0) as u64,
+            available_in_ms: (wait_s.min(bound.tolerance.window_s) * 1_000.0) as u64,
         }
     }
 }
--- a/src/limit_experiment/ways/mod.rs
+++ b/src/limit_experiment/ways/mod.rs
@@ -35,7 +35,12 @@
         name.strip_prefix("entry-")?.parse().ok()
     }
 
-    fn grantor(&self, region: usize, group: usize, skip: impl Fn(&str) -> bool) -> Option<String> {
+    fn coordinator(
+        &self,
+        region: usize,
+        group: usize,
+        skip: impl Fn(&str) -> bool,
+    ) -> Option<String> {
         let hosts = (0..self.regions.len()).filter(|host| self.regions[*host] == region);
         let live = hosts.filter(|host| self.alive[*host]).map(Self::name);
         let rank = |name: &String| hash::mix(hash::of_name(name) ^ hash::mix(group as u64 + 1));
--- a/src/limit_experiment/ways/pooled.rs
+++ b/src/limit_experiment/ways/pooled.rs
@@ -3,9 +3,9 @@
 use std::collections;
 
 use super::{HostView, LimitWay, SentMessage, SimDecision, SimRequest};
-use crate::entry::limits::grantor::LimitGrantor;
-use crate::entry::limits::member::{GrantorList, LimitMember, RightStep};
-use crate::entry::limits::message::{LimitMessage, RightAnswer, RightRequest, RightVerdict};
+use crate::entry::limits::coordinator::LimitCoordinator;
+use crate::entry::limits::member::{AdmissionStep, CoordinatorList, LimitMember};
+use crate::entry::limits::message::{LimitMessage, TokenAnswer, TokenRequest, TokenVerdict};
 use crate::entry::limits::{self, FAR_WAIT_MS, GROUPS, LimitBound, NEAR_WAIT_MS};
 use crate::timer::Moment;
 
@@ -14,8 +14,8 @@
 pub struct PooledWay {
     own: usize,
     member: LimitMember,
-    grantor: LimitGrantor,
-    coordinator_lists: [GrantorList; GROUPS],
+    coordinator: LimitCoordinator,
+    coordinator_lists: [CoordinatorList; GROUPS],
     waiting: collections::HashMap<u64, WaitingRequest>,
 }
 
@@ -23,7 +23,7 @@
 struct WaitingRequest {
     request: SimRequest,
     asked: usize,
-    grantor: String,
+    coordinator: String,
 }
 
 impl PooledWay {
@@ -35,9 +35,9 @@
             let regions_in_order =
                 std::iter::once(region).chain((0..regions).filter(|other| *other != region));
             let skip = |name: &str| member.is_skipped(name, now);
-            GrantorList {
+            CoordinatorList {
                 names: regions_in_order
-                    .filter_map(|region| view.grantor(region, group, skip))
+                    .filter_map(|region| view.coordinator(region, group, skip))
                     .collect(),
             }
         });
@@ -56,17 +56,17 @@
             let step = self
                 .member
                 .next_step(customer, &request.bound, &list, asked, now);
-            let grantor = match step {
-                RightStep::Admit => return SimDecision::Admit,
-                RightStep::Ask(grantor) => grantor,
-                RightStep::Refuse { .. } => return SimDecision::Refuse,
+            let coordinator = match step {
+                AdmissionStep::Admit => return SimDecision::Admit,
+                AdmissionStep::Ask(coordinator) => coordinator,
+                AdmissionStep::Refuse { .. } => return SimDecision::Refuse,
             };
             asked += 1;
-            let to = HostView::number(&grantor).unwrap_or(self.own);
+            let to = HostView::number(&coordinator).unwrap_or(self.own);
             if to == self.own {
-                let verdict = self.grantor.grant(customer, &request.bound, now);
-                self.member.on_verdict(&grantor, customer, verdict, now);
-                if verdict == RightVerdict::Granted {
+                let verdict = self.coordinator.grant(customer, &request.bound, now);
+                self.member.on_verdict(&coordinator, customer, verdict, now);
+                if verdict == TokenVerdict::Granted {
                     return SimDecision::Admit;
                 }
                 continue;
@@ -74,17 +74,17 @@
             let id = request.id;
             out.push(SentMessage {
                 to,
-                message: LimitMessage::Request(RightRequest {
+                message: LimitMessage::Request(TokenRequest {
                     id,
                     customer,
                     reply_to: None,
                 }),
             });
-            let is_near = list.is_nearest(&grantor);
+            let is_near = list.is_local(&coordinator);
             let waiting = WaitingRequest {
                 request: *request,
                 asked,
-                grantor,
+                coordinator,
             };
             self.waiting.insert(id, waiting);
             return SimDecision::Wait(if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS });
@@ -102,8 +102,8 @@
         Self {
             own,
             member: LimitMember::with_name(&name, run),
-            grantor: LimitGrantor::with_name(&name, run),
-            coordinator_lists: std::array::from_fn(|_| GrantorList::default()),
+            coordinator: LimitCoordinator::with_name(&name, run),
+            coordinator_lists: std::array::from_fn(|_| CoordinatorList::default()),
             waiting: collections::HashMap::new(),
         }
     }
@@ -124,7 +124,7 @@
         let preferred: Vec<Option<String>> = (0..GROUPS)
             .map(|group| {
                 let member = &self.member;
-                view.grantor(region, group, |name| member.is_skipped(name, now))
+                view.coordinator(region, group, |name| member.is_skipped(name, now))
             })
             .collect();
         let wanted = std::array::from_fn(|group| preferred[group].as_deref());
@@ -145,7 +145,7 @@
     ) -> Option<(u64, SimDecision)> {
         match message {
             LimitMessage::Offer(offer) => {
-                let reply = self.grantor.on_offer(offer, now)?;
+                let reply = self.coordinator.on_offer(offer, now)?;
                 out.push(SentMessage {
                     to: from,
                     message: LimitMessage::Reply(reply),
@@ -162,10 +162,10 @@
             }
             LimitMessage::Request(request) => {
                 let bound = bound_of(request.customer);
-                let verdict = self.grantor.grant(request.customer, &bound, now);
+                let verdict = self.coordinator.grant(request.customer, &bound, now);
                 out.push(SentMessage {
                     to: from,
-                    message: LimitMessage::Answer(RightAnswer {
+                    message: LimitMessage::Answer(TokenAnswer {
                         id: request.id,
                         customer: request.customer,
                         verdict,
@@ -175,12 +175,12 @@
             }
             LimitMessage::Answer(answer) => {
                 let waiting = self.waiting.get(&answer.id);
-                waiting.filter(|waiting| HostView::number(&waiting.grantor) == Some(from))?;
+                waiting.filter(|waiting| HostView::number(&waiting.coordinator) == Some(from))?;
                 let waiting = self.waiting.remove(&answer.id)?;
                 let verdict = answer.verdict;
                 self.member
-                    .on_verdict(&waiting.grantor, answer.customer, verdict, now);
-                if verdict == RightVerdict::Granted {
+                    .on_verdict(&waiting.coordinator, answer.customer, verdict, now);
+                if verdict == TokenVerdict::Granted {
                     return Some((answer.id, SimDecision::Admit));
                 }
                 let decision = self.next_decision(&waiting.request, waiting.asked, now, out);
@@ -198,7 +198,7 @@
         let Some(waiting) = self.waiting.remove(&request.id) else {
             return SimDecision::Refuse;
         };
-        self.member.on_unanswered(&waiting.grantor, now);
+        self.member.on_unanswered(&waiting.coordinator, now);
         self.next_decision(request, waiting.asked, now, out)
     }
 }
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -5,9 +5,9 @@
 
 use ledgespool::entry::customer::RateLimit;
 use ledgespool::entry::hash;
-use ledgespool::entry::limits::grantor::LimitGrantor;
-use ledgespool::entry::limits::member::{GrantorList, LimitMember, RightStep};
-use ledgespool::entry::limits::message::{LeaseOffer, RightVerdict};
+use ledgespool::entry::limits::coordinator::LimitCoordinator;
+use ledgespool::entry::limits::member::{AdmissionStep, CoordinatorList, LimitMember};
+use ledgespool::entry::limits::message::{LeaseOffer, TokenVerdict};
 use ledgespool::entry::limits::{self, GROUPS, LimitBound, LimitTolerance};
 use ledgespool::entry::metrics_page::{CurrentFigures, EntryMetrics};
 use ledgespool::limit_experiment::fixed_parts::{FixedParts, FixedVerdict};
@@ -66,7 +66,7 @@
     const SUSPENDED_MS: u64 = 3_000;
     let customer = hash::of_name("mill");
     let bound = bound(20.0, 40.0);
-    let mut grantor = LimitGrantor::with_name("entry-1", 1);
+    let mut coordinator = LimitCoordinator::with_name("entry-1", 1);
     let group = u8::try_from(limits::group_of(customer)).expect("few groups");
     let mut offer = LeaseOffer {
         host: "entry-2".to_owned(),
@@ -78,20 +78,20 @@
         stamp: None,
     };
     let now = Moment(1_000);
-    let reply = grantor
+    let reply = coordinator
         .on_offer(&offer, now)
         .expect("a group that there is");
     offer.stamp = Some(reply.stamp);
     offer.number = 2;
-    assert!(grantor.on_offer(&offer, now).expect("the same").uses);
+    assert!(coordinator.on_offer(&offer, now).expect("the same").uses);
     assert_eq!(
-        grantor.grant(customer, &bound, now.plus(1)),
-        RightVerdict::Granted
+        coordinator.grant(customer, &bound, now.plus(1)),
+        TokenVerdict::Granted
     );
     let woken = now.plus(SUSPENDED_MS);
     assert_eq!(
-        grantor.grant(customer, &bound, woken),
-        RightVerdict::NotHere
+        coordinator.grant(customer, &bound, woken),
+        TokenVerdict::NotHere
     );
 }
 
@@ -102,20 +102,23 @@
     let bound = bound(50.0, 50.0);
     let mut member = LimitMember::with_name("entry-1", 1);
     member.round(1_000, [None; GROUPS], Moment(0));
-    let grantors = GrantorList {
+    let coordinators = CoordinatorList {
         names: ["near", "far", "other"].map(str::to_owned).to_vec(),
     };
-    let next =
-        |member: &mut LimitMember, asked| member.next_step(7, &bound, &grantors, asked, Moment(10));
-    let denied = |room_in_ms| RightVerdict::Denied { room_in_ms };
-    assert_eq!(next(&mut member, 0), RightStep::Ask("near".to_owned()));
+    let next = |member: &mut LimitMember, asked| {
+        member.next_step(7, &bound, &coordinators, asked, Moment(10))
+    };
+    let denied = |available_in_ms| TokenVerdict::Denied { available_in_ms };
+    assert_eq!(next(&mut member, 0), AdmissionStep::Ask("near".to_owned()));
     member.on_verdict("near", 7, denied(300), Moment(10));
-    assert_eq!(next(&mut member, 1), RightStep::Ask("far".to_owned()));
+    assert_eq!(next(&mut member, 1), AdmissionStep::Ask("far".to_owned()));
     member.on_verdict("far", 7, denied(120), Moment(10));
-    let refusal = RightStep::Refuse { room_in_ms: 120 };
+    let refusal = AdmissionStep::Refuse {
+        available_in_ms: 120,
+    };
     assert_eq!(next(&mut member, 2), refusal);
     // The next request asks the coordinator that was not asked.
-    assert_eq!(next(&mut member, 0), RightStep::Ask("other".to_owned()));
+    assert_eq!(next(&mut member, 0), AdmissionStep::Ask("other".to_owned()));
 }
 
 #[test]
@@ -150,11 +153,14 @@
     let admitted = (0..1_000).filter(|_| admit(0) == FixedVerdict::Admitted);
     let admitted = admitted.count();
     assert!(admitted > 5, "{admitted}");
-    let FixedVerdict::Refused { room_in_ms } = admit(0) else {
+    let FixedVerdict::Refused { available_in_ms } = admit(0) else {
         panic!("its part is used up");
     };
-    assert!(room_in_ms <= 40, "25 a second are its own: {room_in_ms}");
-    assert_eq!(admit(room_in_ms + 1), FixedVerdict::Admitted);
+    assert!(
+        available_in_ms <= 40,
+        "25 a second are its own: {available_in_ms}"
+    );
+    assert_eq!(admit(available_in_ms + 1), FixedVerdict::Admitted);
 }
 
 proptest! {
--- a/tests/entry_server_limits.rs
+++ b/tests/entry_server_limits.rs
@@ -4,7 +4,7 @@
 #[path = "common/seeded.rs"]
 mod seeded;
 
-use ledgespool::entry::limits::message::RightVerdict;
+use ledgespool::entry::limits::message::TokenVerdict;
 use ledgespool::entry::server_limit::message::LimitWord;
 use ledgespool::entry::server_limit::rate::{NamedLimit, RequestRate};
 use ledgespool::entry::server_limit::table::{LimitChange, ServerLimitTable};
@@ -140,17 +140,17 @@
 #[test]
 fn a_host_that_has_just_become_the_keeper_holds_no_rights() {
     let mut table = told("2");
-    assert_ne!(table.grant(SERVER, Moment(60_000)), RightVerdict::Granted);
-    assert_eq!(table.grant(SERVER, Moment(60_500)), RightVerdict::Granted);
+    assert_ne!(table.grant(SERVER, Moment(60_000)), TokenVerdict::Granted);
+    assert_eq!(table.grant(SERVER, Moment(60_500)), TokenVerdict::Granted);
     table.on_other_keeper(SERVER);
-    assert_ne!(table.grant(SERVER, Moment(90_000)), RightVerdict::Granted);
+    assert_ne!(table.grant(SERVER, Moment(90_000)), TokenVerdict::Granted);
 }
 
 #[test]
 fn a_server_that_takes_nothing_gets_a_request_now_and_then() {
     let mut table = told("0");
     let asked = (0..400).map(|step| step * 100);
-    let granted = asked.filter(|at| table.grant(SERVER, Moment(*at)) == RightVerdict::Granted);
+    let granted = asked.filter(|at| table.grant(SERVER, Moment(*at)) == TokenVerdict::Granted);
     let granted: Vec<u64> = granted.collect();
     assert!((9..=11).contains(&granted.len()), "{granted:?}");
 }
@@ -161,8 +161,8 @@
     let mut table = told("4");
     let mut waits = Vec::new();
     for _ in 0..100 {
-        if let RightVerdict::Denied { room_in_ms } = table.grant(SERVER, Moment(0)) {
-            waits.push(room_in_ms);
+        if let TokenVerdict::Denied { available_in_ms } = table.grant(SERVER, Moment(0)) {
+            waits.push(available_in_ms);
         }
     }
     assert_eq!(waits[..4], [250, 500, 750, 1_000]);
@@ -188,7 +188,7 @@
             let limit = limits[step / 100 % limits.len()];
             let text = format!("{}.{}", limit / 10, limit % 10);
             table.on_answer(SERVER, named(&text), table.spell_of(SERVER), true, Moment(now));
-            while table.grant(SERVER, Moment(now)) == RightVerdict::Granted {
+            while table.grant(SERVER, Moment(now)) == TokenVerdict::Granted {
                 granted.push(now);
             }
         }
