--- a/src/entry/limit_role/mod.rs
+++ b/src/entry/limit_role/mod.rs
@@ -1,10 +1,10 @@
 //! Applies the limits of customers to this host's requests, and connects the state machines of
 //! [`limits`] to the sockets and the clock.
 //!
-//! This module gets a token for each request; [`lending`] leases this host's shares in rounds,
+//! This module gets a token for each request; [`leasing`] leases this host's shares in rounds,
 //! [`messages`] answers other hosts.
 
-mod lending;
+mod leasing;
 mod messages;
 
 use std::{cell, collections, net, time};
@@ -26,7 +26,7 @@
 use crate::entry::wire::WireProtocol;
 use crate::entry::{gossip, hash};
 
-pub(super) use self::lending::spawn;
+pub(super) use self::leasing::spawn;
 pub(super) use self::messages::on_message;
 
 /// Retry times are sampled between these multiples of the time until a token is available, so that
