--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -13,9 +13,9 @@
 
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
-use super::server_limit::rate::NamedLimit;
-use super::server_limit::table::LimitSpell;
-use super::server_limit_role::NamedInAnswer;
+use super::server_limit::rate::AdvertisedLimit;
+use super::server_limit::table::LimitPeriod;
+use super::server_limit_role::AdvertisedInAnswer;
 use super::server_notice::ServerNotice;
 use super::server_word::{LeavingWord, RestWord};
 use super::wire::{ServerHead, WireProtocol};
@@ -44,7 +44,7 @@
     /// Whether the server wrote it.
     pub(super) proof: AnswerProof,
     /// The time of a limit in which its request was sent, as far as was known then.
-    pub(super) sent_in: Option<LimitSpell>,
+    pub(super) sent_in: Option<LimitPeriod>,
 }
 
 impl AnswerClaims<'_> {
@@ -90,16 +90,16 @@
     }
 
     fn on_limit_claim(&self, server: &FleetServer, claims: &AnswerClaims<'_>) {
-        if claims.told.limit == NamedLimit::Unreadable {
+        if claims.told.limit == AdvertisedLimit::Unreadable {
             self.on_unreadable_word(server, "limit");
             return;
         }
-        let answer = NamedInAnswer {
-            named: claims.told.limit,
+        let answer = AdvertisedInAnswer {
+            advertised: claims.told.limit,
             sent_in: claims.sent_in,
-            proves: claims.proof == AnswerProof::Proven,
+            is_proven: claims.proof == AnswerProof::Proven,
         };
-        self.on_named_limit(server, &answer);
+        self.on_advertised_limit(server, &answer);
     }
 
     fn on_leaving_claim(&self, server: &FleetServer, claims: &AnswerClaims<'_>) {
--- a/src/entry/answer_end.rs
+++ b/src/entry/answer_end.rs
@@ -5,7 +5,7 @@
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::server::ServerLoad;
-use super::server_limit::table::LimitSpell;
+use super::server_limit::table::LimitPeriod;
 use super::wire::{ServerHead, WireProtocol};
 
 /// What an answer's head alone decides; `None` when the answer is the server's own. What it claims of the
@@ -15,7 +15,7 @@
     server: &FleetServer,
     request: &ForwardRequest,
     head: &http::response::Parts,
-    sent_in: Option<LimitSpell>,
+    sent_in: Option<LimitPeriod>,
 ) -> Option<OfferEnd> {
     let told = host.wire.read_answer(&head.headers);
     let end = end_of(server, request, head, &told);
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -191,7 +191,7 @@
 
 fn fits(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerStanding) -> bool {
     standing_for(query, server) == standing
-        && query.limits.is_open(server.start_hash, query.now)
+        && query.limits.is_token_expected(server.start_hash, query.now)
         && fits_later(query, server)
 }
 
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -293,7 +293,7 @@
         let halls = heartbeat.evacuated.iter().cloned().collect();
         host.on_evacuation_list(halls, heartbeat.evacuation_changed);
     }
-    host.on_limit_words(&heartbeat.server_limits, Some(source));
+    host.on_limit_updates(&heartbeat.server_limits, Some(source));
     host.on_leaving_told(&heartbeat.leaving_servers, &heartbeat.host);
     host.on_rollout_news(&heartbeat.rollouts);
     if heartbeat.ready && !heartbeat.leaving {
--- a/src/entry/peer_message.rs
+++ b/src/entry/peer_message.rs
@@ -9,7 +9,7 @@
 use super::peers::HostRecord;
 use super::quarantine::message::{QuarantineDigest, QuarantineMessage, SuspectRecord};
 use super::server::ServerObject;
-use super::server_limit::message::{LimitWord, ServerLimitMessage};
+use super::server_limit::message::{LimitUpdate, ServerLimitMessage};
 use crate::rollout::message::{RolloutNews, RolloutReport};
 
 /// The number of the format. Hosts pass over messages of another one, so that two versions of the
@@ -118,7 +118,7 @@
     /// What it knows of requests under which servers ended.
     pub quarantine: QuarantineDigest,
     /// Some of what it knows of the limits that servers name, all of it in turn.
-    pub server_limits: Vec<LimitWord>,
+    pub server_limits: Vec<LimitUpdate>,
     /// Some of the servers that say that they leave and of which the store does not tell yet, all in turn.
     pub leaving_servers: Vec<u64>,
     /// The orders to move a service's traffic.
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -51,7 +51,7 @@
             evacuation_changed: evacuations.changed(),
             evacuated: evacuations.stored().iter().cloned().collect(),
             quarantine: self.quarantine.digest(),
-            server_limits: self.server_limits.words_in_turn(),
+            server_limits: self.server_limits.next_heartbeat_updates(),
             leaving_servers: self.leaving_news.in_turn(),
             rollouts: self.rollouts.news(self.now()),
             known_hosts,
--- a/src/entry/server_limit/message.rs
+++ b/src/entry/server_limit/message.rs
@@ -7,7 +7,7 @@
 
 /// The newest state that a host knows of one server's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct LimitWord {
+pub struct LimitUpdate {
     /// A hash of the server's identity and incarnation.
     pub server: u64,
     /// Rises with each change; the higher version wins.
@@ -16,20 +16,20 @@
     pub rate: Option<RequestRate>,
 }
 
-impl LimitWord {
+impl LimitUpdate {
     /// Whether this update replaces `other`. If two hosts wrote the same version, the stricter
     /// limit wins.
     ///
     /// ```
-    /// use ledgespool::entry::server_limit::message::LimitWord;
+    /// use ledgespool::entry::server_limit::message::LimitUpdate;
     /// use ledgespool::entry::server_limit::rate::RequestRate;
-    /// let word = |version, text| LimitWord { server: 1, version, rate: RequestRate::from_text(text) };
-    /// assert!(word(2, "over").holds_beside(&word(1, "1")));
-    /// assert!(word(2, "1").holds_beside(&word(2, "2")));
-    /// assert!(!word(2, "over").holds_beside(&word(2, "2")));
+    /// let update = |version, text| LimitUpdate { server: 1, version, rate: RequestRate::from_text(text) };
+    /// assert!(update(2, "over").supersedes(&update(1, "1")));
+    /// assert!(update(2, "1").supersedes(&update(2, "2")));
+    /// assert!(!update(2, "over").supersedes(&update(2, "2")));
     /// ```
     #[must_use]
-    pub fn holds_beside(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         if self.version != other.version {
             return self.version > other.version;
         }
@@ -47,7 +47,8 @@
     /// Matches the answer to this request.
     pub id: u64,
     /// The server, and what the host knows of its limit.
-    pub word: LimitWord,
+    #[serde(rename = "word")]
+    pub update: LimitUpdate,
     /// The requester, if a host that is not the limit owner has forwarded the request.
     pub reply_to: Option<net::SocketAddr>,
 }
@@ -58,7 +59,8 @@
     /// The identity of the request.
     pub id: u64,
     /// What the limit owner knows of the limit.
-    pub word: LimitWord,
+    #[serde(rename = "word")]
+    pub update: LimitUpdate,
     /// The decision.
     pub verdict: TokenVerdict,
 }
@@ -67,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ServerLimitMessage {
     /// New updates, or those that the receiver was found to be missing.
-    Words(Vec<LimitWord>),
+    Words(Vec<LimitUpdate>),
     /// To a limit owner.
     Ask(SendTokenRequest),
     /// From a limit owner.
--- a/src/entry/server_limit/mod.rs
+++ b/src/entry/server_limit/mod.rs
@@ -38,9 +38,9 @@
 /// A token must be used within this time after it was requested, in milliseconds.
 pub const TOKEN_LIFETIME_MS: u64 = 250;
 /// Updates in one heartbeat, taken round robin, for hosts that missed them; about 16 bytes each.
-pub const WORDS_PER_HEARTBEAT: usize = 8;
+pub const UPDATES_PER_HEARTBEAT: usize = 8;
 /// Updates in one datagram; about 1,000 bytes.
-pub const WORDS_PER_DATAGRAM: usize = 64;
+pub const UPDATES_PER_DATAGRAM: usize = 64;
 /// The end of a limit is advertised for this long, in milliseconds: even if all servers of a hall
 /// advertised limits, heartbeats carry each update several times by then.
-pub const OVER_TOLD_MS: u64 = 60_000;
+pub const ENDED_RETENTION_MS: u64 = 60_000;
--- a/src/entry/server_limit/rate.rs
+++ b/src/entry/server_limit/rate.rs
@@ -37,7 +37,7 @@
 /// The limit that an answer advertises for its server: the requests that it takes from all hosts
 /// together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedLimit {
+pub enum AdvertisedLimit {
     /// No limit.
     Absent,
     /// At most this rate.
@@ -46,29 +46,29 @@
     Unreadable,
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// Combines all values that one answer advertises: the lowest rate applies.
     ///
     /// ```
-    /// use ledgespool::entry::server_limit::rate::NamedLimit;
-    /// let named = |values: &[&str]| NamedLimit::from_texts(values.iter().copied());
-    /// assert_eq!(named(&["4", "2"]), named(&["2"]));
-    /// assert_eq!(named(&["x", "2"]), named(&["2"]));
-    /// assert_eq!(named(&["x"]), NamedLimit::Unreadable);
-    /// assert_eq!(named(&[]), NamedLimit::Absent);
+    /// use ledgespool::entry::server_limit::rate::AdvertisedLimit;
+    /// let advertised = |values: &[&str]| AdvertisedLimit::from_texts(values.iter().copied());
+    /// assert_eq!(advertised(&["4", "2"]), advertised(&["2"]));
+    /// assert_eq!(advertised(&["x", "2"]), advertised(&["2"]));
+    /// assert_eq!(advertised(&["x"]), AdvertisedLimit::Unreadable);
+    /// assert_eq!(advertised(&[]), AdvertisedLimit::Absent);
     /// ```
     #[must_use]
     pub fn from_texts<'a>(values: impl Iterator<Item = &'a str>) -> Self {
-        let mut named = Self::Absent;
+        let mut advertised = Self::Absent;
         for value in values {
             let rate = RequestRate::from_text(value);
-            named = match (named, rate) {
+            advertised = match (advertised, rate) {
                 (Self::Rate(known), Some(rate)) => Self::Rate(known.min(rate)),
                 (Self::Rate(known), None) => Self::Rate(known),
                 (_, Some(rate)) => Self::Rate(rate),
                 (_, None) => Self::Unreadable,
             };
         }
-        named
+        advertised
     }
 }
--- a/src/entry/server_limit/table.rs
+++ b/src/entry/server_limit/table.rs
@@ -1,15 +1,15 @@
 //! The limits of servers that one host knows, and the tokens that it grants as limit owner.
 
-use super::message::LimitWord;
-use super::rate::{NamedLimit, RequestRate};
-use super::{HELD_S, LEAST_PER_S, LONGEST_WAIT_MS, OVER_TOLD_MS, WORDS_PER_HEARTBEAT};
+use super::message::LimitUpdate;
+use super::rate::{AdvertisedLimit, RequestRate};
+use super::{ENDED_RETENTION_MS, HELD_S, LEAST_PER_S, LONGEST_WAIT_MS, UPDATES_PER_HEARTBEAT};
 use crate::entry::limits::bucket::{BucketPace, TokenBucket};
 use crate::entry::limits::message::TokenVerdict;
 use crate::timer::Moment;
 
 /// An uninterrupted period in which a server advertises a limit, as this host knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LimitSpell(u32);
+pub struct LimitPeriod(u32);
 
 /// The change that an answer or an update caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 /// The state of one server's limit.
 #[derive(Debug)]
 struct LimitEntry {
-    word: LimitWord,
+    update: LimitUpdate,
     period: u32,
     /// When the limit last changed.
     changed_at: Moment,
@@ -52,19 +52,19 @@
 
 impl ServerLimitTable {
     /// Handles an answer of `server` to a request that was sent in the period `sent_in`. An answer
-    /// can end a limit only if it `proves` that the server itself wrote it.
+    /// can end a limit only if it `is_proven` that the server itself wrote it.
     pub fn on_answer(
         &mut self,
         server: u64,
-        named: NamedLimit,
-        sent_in: Option<LimitSpell>,
-        proves: bool,
+        advertised: AdvertisedLimit,
+        sent_in: Option<LimitPeriod>,
+        is_proven: bool,
         now: Moment,
     ) -> LimitChange {
-        let rate = match named {
-            NamedLimit::Unreadable => return LimitChange::None,
-            NamedLimit::Rate(rate) => Some(rate),
-            NamedLimit::Absent => None,
+        let rate = match advertised {
+            AdvertisedLimit::Unreadable => return LimitChange::None,
+            AdvertisedLimit::Rate(rate) => Some(rate),
+            AdvertisedLimit::Absent => None,
         };
         let Some(entry) = self.entries.get_mut(&server) else {
             return match rate {
@@ -73,35 +73,35 @@
             };
         };
         let has_ended = rate.is_none();
-        if has_ended && (!proves || sent_in.is_none() || sent_in != entry.current_spell()) {
+        if has_ended && (!is_proven || sent_in.is_none() || sent_in != entry.current_period()) {
             return LimitChange::None;
         }
-        if entry.word.rate == rate {
+        if entry.update.rate == rate {
             return LimitChange::None;
         }
-        let version = entry.word.version.saturating_add(1);
+        let version = entry.update.version.saturating_add(1);
         self.learn(server, version, rate, now)
     }
 
     /// Handles an update from another host.
-    pub fn on_word(&mut self, word: &LimitWord, now: Moment) -> LimitChange {
-        let is_newer = match self.entries.get(&word.server) {
-            Some(known) => word.holds_beside(&known.word),
+    pub fn on_update(&mut self, update: &LimitUpdate, now: Moment) -> LimitChange {
+        let is_newer = match self.entries.get(&update.server) {
+            Some(known) => update.supersedes(&known.update),
             // The end of a limit that is unknown here is ignored: otherwise hosts would send it to
             // each other for ever.
-            None => word.rate.is_some(),
+            None => update.rate.is_some(),
         };
         if !is_newer {
             return LimitChange::None;
         }
-        self.learn(word.server, word.version, word.rate, now)
+        self.learn(update.server, update.version, update.rate, now)
     }
 
-    /// The newer update that the sender of `word` is missing.
+    /// The newer update that the sender of `update` is missing.
     #[must_use]
-    pub fn word_beyond(&self, word: &LimitWord) -> Option<LimitWord> {
-        let known = self.entries.get(&word.server)?.word;
-        known.holds_beside(word).then_some(known)
+    pub fn newer_update(&self, update: &LimitUpdate) -> Option<LimitUpdate> {
+        let known = self.entries.get(&update.server)?.update;
+        known.supersedes(update).then_some(known)
     }
 
     fn learn(
@@ -113,7 +113,7 @@
     ) -> LimitChange {
         let entry = self.entries.entry(server);
         let entry = entry.or_insert_with(|| LimitEntry::fresh(server, now));
-        let before = entry.word.rate;
+        let before = entry.update.rate;
         entry.set(version, rate, now);
         let change = match (before, rate) {
             (None, Some(rate)) => LimitChange::Began(rate),
@@ -131,34 +131,34 @@
     /// The limit of `server`; `None` if it advertises none.
     #[must_use]
     pub fn rate_of(&self, server: u64) -> Option<RequestRate> {
-        self.entries.get(&server)?.word.rate
+        self.entries.get(&server)?.update.rate
     }
 
     /// What this host knows of `server`, if that advertises a limit.
     #[must_use]
-    pub fn update_of(&self, server: u64) -> Option<LimitWord> {
-        let word = self.entries.get(&server)?.word;
-        word.rate.is_some().then_some(word)
+    pub fn update_of(&self, server: u64) -> Option<LimitUpdate> {
+        let update = self.entries.get(&server)?.update;
+        update.rate.is_some().then_some(update)
     }
 
     /// The limit period that a request sent to `server` now belongs to.
     #[must_use]
-    pub fn spell_of(&self, server: u64) -> Option<LimitSpell> {
-        self.entries.get(&server)?.current_spell()
+    pub fn period_of(&self, server: u64) -> Option<LimitPeriod> {
+        self.entries.get(&server)?.current_period()
     }
 
     /// Whether a token for `server` can be expected now, or none is needed.
     #[must_use]
-    pub fn is_open(&self, server: u64, now: Moment) -> bool {
-        self.opens_at(server)
+    pub fn is_token_expected(&self, server: u64, now: Moment) -> bool {
+        self.token_expected_at(server)
             .is_none_or(|expected_at| expected_at <= now)
     }
 
     /// When a token for `server` can be expected; `None` if none is needed.
     #[must_use]
-    pub fn opens_at(&self, server: u64) -> Option<Moment> {
+    pub fn token_expected_at(&self, server: u64) -> Option<Moment> {
         let entry = self.entries.get(&server)?;
-        entry.word.rate.map(|_| entry.blocked_until)
+        entry.update.rate.map(|_| entry.blocked_until)
     }
 
     /// Records that no token for `server` can be expected within `wait_ms`.
@@ -173,7 +173,7 @@
         let Some(entry) = self.entries.get_mut(&server) else {
             return TokenVerdict::NotHere;
         };
-        let Some(rate) = entry.word.rate else {
+        let Some(rate) = entry.update.rate else {
             return TokenVerdict::Granted;
         };
         if !entry.is_owner {
@@ -184,7 +184,7 @@
     }
 
     /// Records that another host is the limit owner of `server`.
-    pub fn on_other_keeper(&mut self, server: u64) {
+    pub fn on_other_owner(&mut self, server: u64) {
         if let Some(entry) = self.entries.get_mut(&server) {
             entry.is_owner = false;
         }
@@ -194,29 +194,29 @@
     #[must_use]
     pub fn limited_count(&self) -> usize {
         let entries = self.entries.values();
-        entries.filter(|entry| entry.word.rate.is_some()).count()
+        entries.filter(|entry| entry.update.rate.is_some()).count()
     }
 
     /// The updates to send to other hosts at once; each is returned once.
-    pub fn take_news(&mut self) -> Vec<LimitWord> {
+    pub fn take_unsent(&mut self) -> Vec<LimitUpdate> {
         let mut servers = std::mem::take(&mut self.unsent);
         servers.sort_unstable();
         servers.dedup();
         let entries = servers.iter().filter_map(|server| self.entries.get(server));
-        entries.map(|entry| entry.word).collect()
+        entries.map(|entry| entry.update).collect()
     }
 
     /// The updates for the next heartbeat; heartbeats go through all of them round robin.
-    pub fn words_in_turn(&mut self) -> Vec<LimitWord> {
+    pub fn next_heartbeat_updates(&mut self) -> Vec<LimitUpdate> {
         let count = self.entries.len();
-        let count_sent = count.min(WORDS_PER_HEARTBEAT);
+        let count_sent = count.min(UPDATES_PER_HEARTBEAT);
         let entries = self
             .entries
             .values()
             .cycle()
             .skip(self.cursor)
             .take(count_sent);
-        let updates = entries.map(|entry| entry.word).collect();
+        let updates = entries.map(|entry| entry.update).collect();
         self.cursor = (self.cursor + count_sent).checked_rem(count).unwrap_or(0);
         updates
     }
@@ -225,7 +225,7 @@
     pub fn on_tick(&mut self, is_known: impl Fn(u64) -> bool, now: Moment) {
         self.entries.retain(|server, entry| {
             let is_retained =
-                entry.word.rate.is_some() || now.since(entry.changed_at) <= OVER_TOLD_MS;
+                entry.update.rate.is_some() || now.since(entry.changed_at) <= ENDED_RETENTION_MS;
             is_retained && is_known(*server)
         });
     }
@@ -234,7 +234,7 @@
 impl LimitEntry {
     fn fresh(server: u64, now: Moment) -> Self {
         Self {
-            word: LimitWord {
+            update: LimitUpdate {
                 server,
                 version: 0,
                 rate: None,
@@ -249,7 +249,7 @@
     }
 
     fn set(&mut self, version: u32, rate: Option<RequestRate>, now: Moment) {
-        if let Some(before) = self.word.rate {
+        if let Some(before) = self.update.rate {
             // Tokens up to now accrue at the previous limit.
             self.bucket.fill(&bucket_config(before), now);
         } else {
@@ -259,12 +259,12 @@
             self.promised_until = now;
         }
         self.changed_at = now;
-        self.word.version = version;
-        self.word.rate = rate;
+        self.update.version = version;
+        self.update.rate = rate;
     }
 
-    fn current_spell(&self) -> Option<LimitSpell> {
-        self.word.rate.map(|_| LimitSpell(self.period))
+    fn current_period(&self) -> Option<LimitPeriod> {
+        self.update.rate.map(|_| LimitPeriod(self.period))
     }
 
     /// Denials report times that are one token apart, so that many hosts that each want few tokens
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -14,12 +14,12 @@
 use super::peers::{KeeperPlace, KeeperQuery};
 use super::pending_answers::PendingAnswers;
 use super::server_limit::message::{
-    LimitWord, SendTokenAnswer, SendTokenRequest, ServerLimitMessage,
+    LimitUpdate, SendTokenAnswer, SendTokenRequest, ServerLimitMessage,
 };
-use super::server_limit::rate::{NamedLimit, RequestRate};
-use super::server_limit::table::{LimitChange, LimitSpell, ServerLimitTable};
+use super::server_limit::rate::{AdvertisedLimit, RequestRate};
+use super::server_limit::table::{LimitChange, LimitPeriod, ServerLimitTable};
 use super::server_limit::token::SendToken;
-use super::server_limit::{TOKEN_LIFETIME_MS, UNANSWERED_MS, WORDS_PER_DATAGRAM};
+use super::server_limit::{TOKEN_LIFETIME_MS, UNANSWERED_MS, UPDATES_PER_DATAGRAM};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
@@ -32,13 +32,13 @@
 
 /// What an answer advertises about its server's limit.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct NamedInAnswer {
+pub(super) struct AdvertisedInAnswer {
     /// The advertised limit.
-    pub(super) named: NamedLimit,
+    pub(super) advertised: AdvertisedLimit,
     /// The limit period in which the request was sent, as far as was known then.
-    pub(super) sent_in: Option<LimitSpell>,
+    pub(super) sent_in: Option<LimitPeriod>,
     /// Whether the server itself certainly wrote it.
-    pub(super) proves: bool,
+    pub(super) is_proven: bool,
 }
 
 impl ServerLimitRole {
@@ -52,24 +52,24 @@
         self.table.borrow().limited_count()
     }
 
-    fn on_other_keeper(&self, server: u64) {
-        self.table.borrow_mut().on_other_keeper(server);
+    fn on_other_owner(&self, server: u64) {
+        self.table.borrow_mut().on_other_owner(server);
     }
 
     /// The updates for the next heartbeat.
-    pub(super) fn words_in_turn(&self) -> Vec<LimitWord> {
-        self.table.borrow_mut().words_in_turn()
+    pub(super) fn next_heartbeat_updates(&self) -> Vec<LimitUpdate> {
+        self.table.borrow_mut().next_heartbeat_updates()
     }
 }
 
 impl<W: WireProtocol> EntryHost<W> {
     /// Handles what an answer of `server` advertises.
-    pub(super) fn on_named_limit(&self, server: &FleetServer, answer: &NamedInAnswer) {
+    pub(super) fn on_advertised_limit(&self, server: &FleetServer, answer: &AdvertisedInAnswer) {
         let change = self.server_limits.table.borrow_mut().on_answer(
             server.start_hash,
-            answer.named,
+            answer.advertised,
             answer.sent_in,
-            answer.proves,
+            answer.is_proven,
             self.now(),
         );
         self.log_limit_change(&server.id, change, "answer");
@@ -94,16 +94,16 @@
     /// Acquires a token to send one request to `server`. If there is none, the server is skipped in
     /// later choices until a token can be expected.
     pub(super) async fn acquire_send_token(&self, server: &FleetServer) -> Option<SendToken> {
-        let word = self
+        let update = self
             .server_limits
             .table
             .borrow()
             .update_of(server.start_hash);
-        let Some(word) = word else {
+        let Some(update) = update else {
             return Some(SendToken::NotNeeded);
         };
         let until = self.now().plus(TOKEN_LIFETIME_MS);
-        let verdict = self.request_send_token(server, word).await;
+        let verdict = self.request_send_token(server, update).await;
         let mut metrics = self.metrics.borrow_mut();
         let wait_ms = match verdict {
             Some(TokenVerdict::Granted) => {
@@ -134,14 +134,14 @@
     async fn request_send_token(
         &self,
         server: &FleetServer,
-        word: LimitWord,
+        update: LimitUpdate,
     ) -> Option<TokenVerdict> {
         match self.limit_owner_of(server) {
             KeeperPlace::Own => Some(self.grant_send_token(server)),
             KeeperPlace::Nowhere => None,
             KeeperPlace::At { address, is_near } => {
-                self.server_limits.on_other_keeper(server.start_hash);
-                self.request_send_token_from(address, is_near, word).await
+                self.server_limits.on_other_owner(server.start_hash);
+                self.request_send_token_from(address, is_near, update).await
             }
         }
     }
@@ -150,13 +150,13 @@
         &self,
         address: net::SocketAddr,
         is_near: bool,
-        word: LimitWord,
+        update: LimitUpdate,
     ) -> Option<TokenVerdict> {
         let asked_at = self.now();
         let pending = self.server_limits.pending_requests.register();
         let request = ServerLimitMessage::Ask(SendTokenRequest {
             id: pending.id,
-            word,
+            update,
             reply_to: None,
         });
         gossip::send(self, &PeerMessage::ServerLimit(request), &[address]);
@@ -167,7 +167,7 @@
             .pending_requests
             .wait_for(pending, wait)
             .await?;
-        self.apply_limit_update(&answer.word, "keeper");
+        self.apply_limit_update(&answer.update, "keeper");
         let is_late = self.now().since(asked_at) > TOKEN_LIFETIME_MS;
         (!is_late).then_some(answer.verdict)
     }
@@ -195,33 +195,39 @@
     }
 
     /// Applies an update for a server that is known here; updates for unknown servers are ignored.
-    fn apply_limit_update(&self, word: &LimitWord, source: &str) {
-        let server = self.fleet.borrow().of_start(word.server);
+    fn apply_limit_update(&self, update: &LimitUpdate, source: &str) {
+        let server = self.fleet.borrow().of_start(update.server);
         let Some(server) = server else {
             return;
         };
         let mut table = self.server_limits.table.borrow_mut();
-        let change = table.on_word(word, self.now());
+        let change = table.on_update(update, self.now());
         drop(table);
         self.log_limit_change(&server.id, change, source);
     }
 
     /// Applies updates from another host and sends back the newer ones that it is missing.
-    pub(super) fn on_limit_words(&self, updates: &[LimitWord], source: Option<net::SocketAddr>) {
-        for word in updates {
-            self.apply_limit_update(word, "peer");
+    pub(super) fn on_limit_updates(
+        &self,
+        updates: &[LimitUpdate],
+        source: Option<net::SocketAddr>,
+    ) {
+        for update in updates {
+            self.apply_limit_update(update, "peer");
         }
         let table = self.server_limits.table.borrow();
-        let newer = updates.iter().filter_map(|word| table.word_beyond(word));
-        let newer: Vec<LimitWord> = newer.collect();
+        let newer = updates
+            .iter()
+            .filter_map(|update| table.newer_update(update));
+        let newer: Vec<LimitUpdate> = newer.collect();
         drop(table);
         if let Some(source) = source {
             self.send_limit_updates(&newer, &[source]);
         }
     }
 
-    fn send_limit_updates(&self, updates: &[LimitWord], targets: &[net::SocketAddr]) {
-        for chunk in updates.chunks(WORDS_PER_DATAGRAM) {
+    fn send_limit_updates(&self, updates: &[LimitUpdate], targets: &[net::SocketAddr]) {
+        for chunk in updates.chunks(UPDATES_PER_DATAGRAM) {
             let message = ServerLimitMessage::Words(chunk.to_vec());
             gossip::send(self, &PeerMessage::ServerLimit(message), targets);
         }
@@ -236,7 +242,7 @@
         let fleet = self.fleet.borrow();
         table.on_tick(|server| fleet.of_start(server).is_some(), self.now());
         drop(fleet);
-        let updates = table.take_news();
+        let updates = table.take_unsent();
         drop(table);
         if updates.is_empty() {
             return;
@@ -252,16 +258,16 @@
     /// Handles a token request of another host: grants a token as the limit owner, or forwards the
     /// request once.
     fn on_send_token_request(&self, request: &SendTokenRequest, source: net::SocketAddr) {
-        self.apply_limit_update(&request.word, "peer");
+        self.apply_limit_update(&request.update, "peer");
         // A server that is unknown here has no known limit owner.
-        let server = self.fleet.borrow().of_start(request.word.server);
+        let server = self.fleet.borrow().of_start(request.update.server);
         let owner = server
             .as_ref()
             .map_or(KeeperPlace::Nowhere, |server| self.limit_owner_of(server));
         let verdict = match (owner, &server) {
             (KeeperPlace::Own, Some(server)) => self.grant_send_token(server),
             (KeeperPlace::At { address, is_near }, _) => {
-                self.server_limits.on_other_keeper(request.word.server);
+                self.server_limits.on_other_owner(request.update.server);
                 if is_near && request.reply_to.is_none() {
                     self.forward_token_request(request, source, address);
                     return;
@@ -270,10 +276,14 @@
             }
             _ => TokenVerdict::NotHere,
         };
-        let newer = self.server_limits.table.borrow().word_beyond(&request.word);
+        let newer = self
+            .server_limits
+            .table
+            .borrow()
+            .newer_update(&request.update);
         let answer = ServerLimitMessage::Answer(SendTokenAnswer {
             id: request.id,
-            word: newer.unwrap_or(request.word),
+            update: newer.unwrap_or(request.update),
             verdict,
         });
         let requester = request.reply_to.unwrap_or(source);
@@ -301,7 +311,7 @@
     source: net::SocketAddr,
 ) {
     match message {
-        ServerLimitMessage::Words(updates) => host.on_limit_words(&updates, Some(source)),
+        ServerLimitMessage::Words(updates) => host.on_limit_updates(&updates, Some(source)),
         ServerLimitMessage::Ask(request) => host.on_send_token_request(&request, source),
         ServerLimitMessage::Answer(answer) => {
             host.server_limits
--- a/src/entry/wire.rs
+++ b/src/entry/wire.rs
@@ -4,7 +4,7 @@
 
 use super::customer::KeyDigest;
 use super::server::ServerLoad;
-use super::server_limit::rate::NamedLimit;
+use super::server_limit::rate::AdvertisedLimit;
 use super::server_word::{LeavingWord, RestWord};
 
 /// What a caller says of its request.
@@ -49,7 +49,7 @@
     /// How much longer the server stays cold, if it tells.
     pub cold: Option<time::Duration>,
     /// The requests a second that the server takes from all hosts together, if it names them.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
     /// Whether the server says that it leaves.
     pub leaving: LeavingWord,
     /// When the server may be asked again, if it tells.
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -15,7 +15,7 @@
 use ledgespool::entry::region_distance::RegionDistances;
 use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
-use ledgespool::entry::server_limit::rate::NamedLimit;
+use ledgespool::entry::server_limit::rate::AdvertisedLimit;
 use ledgespool::entry::server_limit::table::ServerLimitTable;
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectContent, StoredObject};
@@ -548,7 +548,7 @@
     let none = BTreeSet::new();
     let servers = fleet.of_service("desk");
     let mut limits = ServerLimitTable::default();
-    let limit = NamedLimit::from_texts(std::iter::once("2"));
+    let limit = AdvertisedLimit::from_texts(std::iter::once("2"));
     for server in servers {
         limits.on_answer(server.start_hash, limit, None, true, Moment(0));
     }
--- a/tests/entry_server_limits.rs
+++ b/tests/entry_server_limits.rs
@@ -5,10 +5,10 @@
 mod seeded;
 
 use ledgespool::entry::limits::message::TokenVerdict;
-use ledgespool::entry::server_limit::message::LimitWord;
-use ledgespool::entry::server_limit::rate::{NamedLimit, RequestRate};
+use ledgespool::entry::server_limit::message::LimitUpdate;
+use ledgespool::entry::server_limit::rate::{AdvertisedLimit, RequestRate};
 use ledgespool::entry::server_limit::table::{LimitChange, ServerLimitTable};
-use ledgespool::entry::server_limit::{LONGEST_WAIT_MS, OVER_TOLD_MS, WORDS_PER_HEARTBEAT};
+use ledgespool::entry::server_limit::{ENDED_RETENTION_MS, LONGEST_WAIT_MS, UPDATES_PER_HEARTBEAT};
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
@@ -20,14 +20,14 @@
     RequestRate::from_text(text).expect("a rate")
 }
 
-fn named(text: &str) -> NamedLimit {
-    NamedLimit::Rate(rate(text))
+fn advertised(text: &str) -> AdvertisedLimit {
+    AdvertisedLimit::Rate(rate(text))
 }
 
 /// A table that learned the limit `text` from an answer at time 0.
 fn told(text: &str) -> ServerLimitTable {
     let mut table = ServerLimitTable::default();
-    let change = table.on_answer(SERVER, named(text), None, true, Moment(0));
+    let change = table.on_answer(SERVER, advertised(text), None, true, Moment(0));
     assert_eq!(change, LimitChange::Began(rate(text)));
     table
 }
@@ -54,7 +54,7 @@
         assert!((rate(text).per_s() - per_s).abs() < 1e-9, "{text}");
     }
     let mut table = told("2");
-    let change = table.on_answer(SERVER, NamedLimit::Unreadable, None, true, Moment(1));
+    let change = table.on_answer(SERVER, AdvertisedLimit::Unreadable, None, true, Moment(1));
     assert_eq!(change, LimitChange::None);
     assert_eq!(table.rate_of(SERVER), Some(rate("2")));
 }
@@ -64,56 +64,63 @@
 #[test]
 fn only_an_answer_to_a_request_sent_within_the_limit_ends_it() {
     let mut table = ServerLimitTable::default();
-    let before = table.spell_of(SERVER);
-    table.on_answer(SERVER, named("1"), before, true, Moment(0));
-    let within = table.spell_of(SERVER);
-    let mut answer =
-        |sent_in, proves| table.on_answer(SERVER, NamedLimit::Absent, sent_in, proves, Moment(1));
+    let before = table.period_of(SERVER);
+    table.on_answer(SERVER, advertised("1"), before, true, Moment(0));
+    let within = table.period_of(SERVER);
+    let mut answer = |sent_in, is_proven| {
+        table.on_answer(
+            SERVER,
+            AdvertisedLimit::Absent,
+            sent_in,
+            is_proven,
+            Moment(1),
+        )
+    };
     assert_eq!(answer(before, true), LimitChange::None);
     assert_eq!(answer(within, false), LimitChange::None);
     assert_eq!(answer(within, true), LimitChange::Ended);
     // The next limit is another period: the same answer, repeated or late, does not end it.
-    table.on_answer(SERVER, named("1"), None, true, Moment(2));
-    let change = table.on_answer(SERVER, NamedLimit::Absent, within, true, Moment(3));
+    table.on_answer(SERVER, advertised("1"), None, true, Moment(2));
+    let change = table.on_answer(SERVER, AdvertisedLimit::Absent, within, true, Moment(3));
     assert_eq!(change, LimitChange::None);
 }
 
 #[test]
 fn hosts_that_hear_the_same_words_in_any_order_believe_the_same() {
-    let word = |version, rate| LimitWord {
+    let update = |version, rate| LimitUpdate {
         server: SERVER,
         version,
         rate,
     };
-    let words = [
-        word(1, Some(rate("3"))),
-        word(2, None),
-        word(2, Some(rate("5"))),
-        word(2, Some(rate("4"))),
+    let updates = [
+        update(1, Some(rate("3"))),
+        update(2, None),
+        update(2, Some(rate("5"))),
+        update(2, Some(rate("4"))),
     ];
-    for first in 0..words.len() {
+    for first in 0..updates.len() {
         let mut table = ServerLimitTable::default();
-        for number in 0..words.len() {
-            table.on_word(&words[(first + number) % words.len()], Moment(0));
+        for number in 0..updates.len() {
+            table.on_update(&updates[(first + number) % updates.len()], Moment(0));
         }
-        assert_eq!(table.update_of(SERVER), Some(words[3]), "from {first}");
-        assert_eq!(table.word_beyond(&words[0]), Some(words[3]));
-        assert_eq!(table.word_beyond(&words[3]), None);
+        assert_eq!(table.update_of(SERVER), Some(updates[3]), "from {first}");
+        assert_eq!(table.newer_update(&updates[0]), Some(updates[3]));
+        assert_eq!(table.newer_update(&updates[3]), None);
     }
 }
 
 #[test]
 fn news_is_handed_out_once_and_heartbeats_tell_all_in_turn() {
     let mut table = ServerLimitTable::default();
-    let servers = 3 * WORDS_PER_HEARTBEAT as u64 + 1;
+    let servers = 3 * UPDATES_PER_HEARTBEAT as u64 + 1;
     for server in 0..servers {
-        table.on_answer(server, named("2"), None, true, Moment(0));
+        table.on_answer(server, advertised("2"), None, true, Moment(0));
     }
-    assert_eq!(table.take_news().len() as u64, servers);
-    assert_eq!(table.take_news(), Vec::new());
+    assert_eq!(table.take_unsent().len() as u64, servers);
+    assert_eq!(table.take_unsent(), Vec::new());
     let mut seen: Vec<u64> = (0..4)
-        .flat_map(|_| table.words_in_turn())
-        .map(|word| word.server)
+        .flat_map(|_| table.next_heartbeat_updates())
+        .map(|update| update.server)
         .collect();
     seen.sort_unstable();
     seen.dedup();
@@ -123,16 +130,16 @@
 #[test]
 fn a_limit_that_is_over_is_forgotten_once_all_have_heard_it() {
     let mut table = told("2");
-    let within = table.spell_of(SERVER);
-    table.on_answer(SERVER, NamedLimit::Absent, within, true, Moment(10));
-    table.on_tick(|_| true, Moment(10 + OVER_TOLD_MS));
-    let over = table.words_in_turn();
+    let within = table.period_of(SERVER);
+    table.on_answer(SERVER, AdvertisedLimit::Absent, within, true, Moment(10));
+    table.on_tick(|_| true, Moment(10 + ENDED_RETENTION_MS));
+    let over = table.next_heartbeat_updates();
     assert_eq!(over.len(), 1, "it is told on");
-    table.on_tick(|_| true, Moment(11 + OVER_TOLD_MS));
-    assert_eq!(table.words_in_turn(), Vec::new());
+    table.on_tick(|_| true, Moment(11 + ENDED_RETENTION_MS));
+    assert_eq!(table.next_heartbeat_updates(), Vec::new());
     // A host that still sends the update does not bring the limit back.
-    assert_eq!(table.on_word(&over[0], Moment(70_000)), LimitChange::None);
-    assert_eq!(table.words_in_turn(), Vec::new());
+    assert_eq!(table.on_update(&over[0], Moment(70_000)), LimitChange::None);
+    assert_eq!(table.next_heartbeat_updates(), Vec::new());
 }
 
 /// Two hosts that both take themselves for the limit owner for a moment must grant little more than
@@ -142,7 +149,7 @@
     let mut table = told("2");
     assert_ne!(table.grant(SERVER, Moment(60_000)), TokenVerdict::Granted);
     assert_eq!(table.grant(SERVER, Moment(60_500)), TokenVerdict::Granted);
-    table.on_other_keeper(SERVER);
+    table.on_other_owner(SERVER);
     assert_ne!(table.grant(SERVER, Moment(90_000)), TokenVerdict::Granted);
 }
 
@@ -187,7 +194,7 @@
             now += gap;
             let limit = limits[step / 100 % limits.len()];
             let text = format!("{}.{}", limit / 10, limit % 10);
-            table.on_answer(SERVER, named(&text), table.spell_of(SERVER), true, Moment(now));
+            table.on_answer(SERVER, advertised(&text), table.period_of(SERVER), true, Moment(now));
             while table.grant(SERVER, Moment(now)) == TokenVerdict::Granted {
                 granted.push(now);
             }
