--- a/src/bin/ledgespool/experiment.rs
+++ b/src/bin/ledgespool/experiment.rs
@@ -2,7 +2,7 @@
 
 use ledgespool::error;
 use ledgespool::limit_experiment::report::{LimitReport, ReportTable};
-use ledgespool::limit_experiment::ways::{CountsWay, FixedWay, PooledWay};
+use ledgespool::limit_experiment::strategies::{CountsStrategy, FixedStrategy, PooledStrategy};
 use ledgespool::limit_experiment::{plot, scenario, world};
 
 use crate::app::ExperimentCommand;
@@ -18,9 +18,9 @@
     } = command;
     let scenario = scenario::from_file(file)?;
     let reports: [LimitReport; 3] = [
-        world::play::<FixedWay>(&scenario, *seed),
-        world::play::<CountsWay>(&scenario, *seed),
-        world::play::<PooledWay>(&scenario, *seed),
+        world::simulate::<FixedStrategy>(&scenario, *seed),
+        world::simulate::<CountsStrategy>(&scenario, *seed),
+        world::simulate::<PooledStrategy>(&scenario, *seed),
     ];
     if *json {
         output::print_json(&reports);
--- a/src/entry/limit_role/leasing.rs
+++ b/src/entry/limit_role/leasing.rs
@@ -6,7 +6,7 @@
 use crate::entry::host::EntryHost;
 use crate::entry::limits::member::AddressedOffer;
 use crate::entry::limits::message::{LeaseOffer, LimitMessage};
-use crate::entry::limits::{GROUPS, ROUND_MS};
+use crate::entry::limits::{GROUPS, ROUND_INTERVAL_MS};
 use crate::entry::peer_message::PeerMessage;
 use crate::entry::peers::GrantorPlace;
 use crate::entry::wire::WireProtocol;
@@ -17,7 +17,7 @@
 }
 
 async fn run_lease_rounds<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
-    let mut rounds = tokio::time::interval(time::Duration::from_millis(ROUND_MS));
+    let mut rounds = tokio::time::interval(time::Duration::from_millis(ROUND_INTERVAL_MS));
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         while !host.has_limits() {
--- a/src/entry/limit_role/mod.rs
+++ b/src/entry/limit_role/mod.rs
@@ -18,7 +18,8 @@
 use crate::entry::limits::member::{AdmissionStep, CoordinatorList, LimitMember};
 use crate::entry::limits::message::{LimitMessage, LimitTrace, TokenRequest, TokenVerdict};
 use crate::entry::limits::{
-    self, FAR_WAIT_MS, GROUPS, LimitBound, LimitTolerance, NEAR_WAIT_MS, TOKEN_LIFETIME_MS,
+    self, GROUPS, LOCAL_ANSWER_TIMEOUT_MS, LimitBound, LimitTolerance, REMOTE_ANSWER_TIMEOUT_MS,
+    TOKEN_LIFETIME_MS,
 };
 use crate::entry::peer_message::PeerMessage;
 use crate::entry::pending_answers::PendingAnswers;
@@ -36,7 +37,7 @@
 /// customer complete.
 const MIN_RETRY_AFTER_MS: f64 = 50.0;
 /// How long a host that has just started waits for its first lease: as long as for an answer.
-const FIRST_LEASE_TIMEOUT: time::Duration = time::Duration::from_millis(NEAR_WAIT_MS);
+const FIRST_LEASE_TIMEOUT: time::Duration = time::Duration::from_millis(LOCAL_ANSWER_TIMEOUT_MS);
 
 /// This host's state as a member and coordinator of customer limits.
 #[derive(Debug)]
@@ -175,7 +176,7 @@
             .borrow()
             .get(coordinator)
             .copied()?;
-        let is_near = self.limits.coordinator_lists.borrow()[limits::group_of(customer)]
+        let is_local = self.limits.coordinator_lists.borrow()[limits::group_of(customer)]
             .is_local(coordinator);
         let asked_at = self.now();
         let pending = self.limits.pending_requests.register();
@@ -185,7 +186,11 @@
             reply_to: None,
         });
         gossip::send(self, &PeerMessage::Limit(request), &[address]);
-        let wait_ms = if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS };
+        let wait_ms = if is_local {
+            LOCAL_ANSWER_TIMEOUT_MS
+        } else {
+            REMOTE_ANSWER_TIMEOUT_MS
+        };
         let wait = time::Duration::from_millis(wait_ms);
         let verdict = self.limits.pending_requests.wait_for(pending, wait).await;
         let is_late = self.now().since(asked_at) > TOKEN_LIFETIME_MS;
--- a/src/entry/limits/bucket.rs
+++ b/src/entry/limits/bucket.rs
@@ -4,26 +4,26 @@
 
 /// Refill rate and capacity of a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BucketPace {
+pub struct BucketConfig {
     /// Tokens added per second.
     pub per_s: f64,
     /// Maximum number of tokens.
-    pub most: f64,
+    pub capacity: f64,
 }
 
-impl BucketPace {
+impl BucketConfig {
     /// Rate and capacity multiplied by a share from 0 to 1.
     ///
     /// ```
-    /// use ledgespool::entry::limits::bucket::BucketPace;
-    /// let pace = BucketPace { per_s: 8.0, most: 2.0 };
-    /// assert_eq!(pace.part(0.5), BucketPace { per_s: 4.0, most: 1.0 });
+    /// use ledgespool::entry::limits::bucket::BucketConfig;
+    /// let config = BucketConfig { per_s: 8.0, capacity: 2.0 };
+    /// assert_eq!(config.scaled(0.5), BucketConfig { per_s: 4.0, capacity: 1.0 });
     /// ```
     #[must_use]
-    pub fn part(&self, share: f64) -> Self {
+    pub fn scaled(&self, share: f64) -> Self {
         Self {
             per_s: self.per_s * share,
-            most: self.most * share,
+            capacity: self.capacity * share,
         }
     }
 }
@@ -46,22 +46,22 @@
     }
 
     /// Adds the tokens that accrued up to `now`.
-    pub fn fill(&mut self, pace: &BucketPace, now: Moment) {
-        let accrued = pace.per_s * now.since(self.updated_at) as f64 / 1_000.0;
-        self.tokens = (self.tokens + accrued).min(pace.most);
+    pub fn refill(&mut self, config: &BucketConfig, now: Moment) {
+        let accrued = config.per_s * now.since(self.updated_at) as f64 / 1_000.0;
+        self.tokens = (self.tokens + accrued).min(config.capacity);
         self.updated_at = self.updated_at.max(now);
     }
 
     /// Takes `count` tokens if the bucket holds that many.
     ///
     /// ```
-    /// use ledgespool::entry::limits::bucket::{BucketPace, TokenBucket};
+    /// use ledgespool::entry::limits::bucket::{BucketConfig, TokenBucket};
     /// use ledgespool::timer::Moment;
-    /// let pace = BucketPace { per_s: 2.0, most: 1.0 };
+    /// let config = BucketConfig { per_s: 2.0, capacity: 1.0 };
     /// let mut bucket = TokenBucket::with_tokens(0.0, Moment(0));
-    /// bucket.fill(&pace, Moment(400));
+    /// bucket.refill(&config, Moment(400));
     /// assert!(!bucket.take(1.0));
-    /// bucket.fill(&pace, Moment(500));
+    /// bucket.refill(&config, Moment(500));
     /// assert!(bucket.take(1.0));
     /// ```
     pub fn take(&mut self, count: f64) -> bool {
@@ -73,8 +73,8 @@
     }
 
     /// Adds tokens, up to the capacity: returns unused ones, or takes in those from other hosts.
-    pub fn put(&mut self, count: f64, pace: &BucketPace) {
-        self.tokens = (self.tokens + count).min(pace.most);
+    pub fn add(&mut self, count: f64, config: &BucketConfig) {
+        self.tokens = (self.tokens + count).min(config.capacity);
     }
 
     /// The number of tokens held.
--- a/src/entry/limits/coordinator.rs
+++ b/src/entry/limits/coordinator.rs
@@ -5,9 +5,9 @@
 //! shares then refuse requests far below the limit: 17.8 % of all requests without any fault,
 //! against 1.3 % with pools.
 
-use super::bucket::BucketPace;
+use super::bucket::BucketConfig;
 use super::message::{CoordinatorStamp, LeaseOffer, LeaseReply, TokenVerdict};
-use super::{GROUPS, LEASE_MS, LimitBound, START_SHARE};
+use super::{GROUPS, INITIAL_FILL_SHARE, LEASE_DURATION_MS, LimitBound};
 use crate::timer::Moment;
 
 /// Upper bound of the wait that a denial reports, in milliseconds.
@@ -59,7 +59,7 @@
 /// The tokens of one customer.
 #[derive(Debug, Clone, Copy)]
 struct PoolBucket {
-    pace: BucketPace,
+    config: BucketConfig,
     tokens: f64,
     counted: PoolInflow,
 }
@@ -83,7 +83,7 @@
             at_ms: now.0,
         };
         let expires_at = match offer.stamp {
-            Some(stamp) if stamp.run == self.run => stamp.moment().plus(LEASE_MS),
+            Some(stamp) if stamp.run == self.run => stamp.moment().plus(LEASE_DURATION_MS),
             _ => Moment(0),
         };
         let stopped = self.stopped;
@@ -117,7 +117,7 @@
             return TokenVerdict::Granted;
         }
         let missing = 1.0 - bucket.tokens;
-        let wait_ms = 1_000.0 * missing / (bucket.pace.per_s * pool.total_share);
+        let wait_ms = 1_000.0 * missing / (bucket.config.per_s * pool.total_share);
         TokenVerdict::Denied {
             available_in_ms: wait_ms.clamp(1.0, MAX_WAIT_MS) as u32,
         }
@@ -192,7 +192,7 @@
             run: offer.run,
             number: offer.number,
             fraction: 0.0,
-            expires_at: now.plus(LEASE_MS),
+            expires_at: now.plus(LEASE_DURATION_MS),
         };
         self.shares.insert(offer.host.clone(), share);
         self.update_total_share();
@@ -216,24 +216,24 @@
         let inflow = self.inflow;
         for bucket in self.buckets.values_mut() {
             bucket.refill(&inflow, before);
-            bucket.tokens = bucket.tokens.min(bucket.pace.most * total_share);
+            bucket.tokens = bucket.tokens.min(bucket.config.capacity * total_share);
         }
         self.base_inflow = inflow;
     }
 
     fn bucket(&mut self, customer: u64, bound: &LimitBound) -> &mut PoolBucket {
-        let pace = bound.pace();
+        let config = bound.bucket_config();
         let fresh = PoolBucket {
-            pace,
+            config,
             tokens: 0.0,
             counted: self.base_inflow,
         };
         let bucket = self.buckets.entry(customer).or_insert(fresh);
         bucket.refill(&self.inflow, self.total_share);
-        if bucket.pace != pace {
+        if bucket.config != config {
             // A lowered limit applies at once; a raised one fills with time.
-            bucket.pace = pace;
-            bucket.tokens = bucket.tokens.min(pace.most * self.total_share);
+            bucket.config = config;
+            bucket.tokens = bucket.tokens.min(config.capacity * self.total_share);
         }
         bucket
     }
@@ -242,9 +242,10 @@
 impl PoolBucket {
     /// Adds what has flowed in since the last refill, while the pool had `total_share`.
     fn refill(&mut self, inflow: &PoolInflow, total_share: f64) {
-        let by_rate = self.pace.per_s * (inflow.share_seconds - self.counted.share_seconds);
-        let by_starts = self.pace.most * START_SHARE * (inflow.started - self.counted.started);
-        self.tokens = (self.tokens + by_rate + by_starts).min(self.pace.most * total_share);
+        let by_rate = self.config.per_s * (inflow.share_seconds - self.counted.share_seconds);
+        let by_starts =
+            self.config.capacity * INITIAL_FILL_SHARE * (inflow.started - self.counted.started);
+        self.tokens = (self.tokens + by_rate + by_starts).min(self.config.capacity * total_share);
         self.counted = *inflow;
     }
 }
--- a/src/entry/limits/member.rs
+++ b/src/entry/limits/member.rs
@@ -3,7 +3,9 @@
 
 use super::bucket::TokenBucket;
 use super::message::{CoordinatorStamp, LeaseOffer, LeaseReply, TokenVerdict};
-use super::{GROUPS, LEASE_MS, LimitBound, MOST_ASKED, ROUND_MS, START_SHARE};
+use super::{
+    GROUPS, INITIAL_FILL_SHARE, LEASE_DURATION_MS, LimitBound, MAX_ASKED, ROUND_INTERVAL_MS,
+};
 use crate::entry::hash;
 use crate::timer::Moment;
 
@@ -184,7 +186,7 @@
     /// If this host itself was stalled, gives the coordinators time to answer again.
     fn allow_for_own_stall(&mut self, now: Moment) {
         let before = self.last_round.replace(now);
-        if before.is_none_or(|before| now.since(before) <= 2 * ROUND_MS) {
+        if before.is_none_or(|before| now.since(before) <= 2 * ROUND_INTERVAL_MS) {
             return;
         }
         for lease in self
@@ -241,7 +243,7 @@
         let is_leasing = lease.stamp.is_some() && !lease.is_ending;
         let unused = is_leasing && !share.initial_tokens_spent;
         if is_leasing {
-            let until = lease.stamp_at.plus(LEASE_MS);
+            let until = lease.stamp_at.plus(LEASE_DURATION_MS);
             share.initial_tokens_spent = true;
             share.leased_until = share.leased_until.max(until);
             share.buckets.clear();
@@ -317,12 +319,12 @@
                         available_in_ms.map_or(wait_ms, |shortest: u64| shortest.min(wait_ms)),
                     );
                 }
-                None if asked < MOST_ASKED => return AdmissionStep::Ask(coordinator.clone()),
+                None if asked < MAX_ASKED => return AdmissionStep::Ask(coordinator.clone()),
                 None => {}
             }
         }
         AdmissionStep::Refuse {
-            available_in_ms: available_in_ms.unwrap_or(ROUND_MS),
+            available_in_ms: available_in_ms.unwrap_or(ROUND_INTERVAL_MS),
         }
     }
 
@@ -365,7 +367,7 @@
 
     /// Takes a token from this host's own share, unless the share is leased.
     fn take_own_token(&mut self, customer: u64, bound: &LimitBound, now: Moment) -> bool {
-        let pace = bound.pace().part(self.fraction());
+        let config = bound.bucket_config().scaled(self.fraction());
         let share = &mut self.shares[super::group_of(customer)];
         if share.is_leased(now) {
             return false;
@@ -373,12 +375,13 @@
         let start = if share.initial_tokens_spent {
             0.0
         } else {
-            START_SHARE
+            INITIAL_FILL_SHARE
         };
         let bucket = share.buckets.entry(customer);
-        let bucket = bucket
-            .or_insert_with(|| TokenBucket::with_tokens(pace.most * start, share.leased_until));
-        bucket.fill(&pace, now);
+        let bucket = bucket.or_insert_with(|| {
+            TokenBucket::with_tokens(config.capacity * start, share.leased_until)
+        });
+        bucket.refill(&config, now);
         if !bucket.take(1.0) {
             return false;
         }
--- a/src/entry/limits/mod.rs
+++ b/src/entry/limits/mod.rs
@@ -1,8 +1,8 @@
 //! Limits on the requests that all hosts together let through for a customer.
 //!
 //! Each host owns a share of every limit. It leases that share, for a short time, to one host of
-//! its region, the [`coordinator`], which pools the shares of all members and grants single tokens on
-//! request; [`member`] is the other side. A host that reaches no coordinator uses its own share.
+//! its region, the [`coordinator`], which pools the shares of all members and grants single tokens
+//! on request; [`member`] is the other side. A host that reaches no coordinator uses its own share.
 //! Tokens are only ever moved, so their sum stays within the bound of each sliding window,
 //! [`LimitBound::allowed`], whatever is partitioned, killed or delayed; docs/design/limits.md has
 //! the proof and a comparison with other strategies.
@@ -15,7 +15,7 @@
 pub mod member;
 pub mod message;
 
-use self::bucket::BucketPace;
+use self::bucket::BucketConfig;
 use super::customer::RateLimit;
 use super::hash;
 
@@ -23,26 +23,26 @@
 /// one coordinator affects a quarter of them. A host sends one lease message per group and round.
 pub const GROUPS: usize = 4;
 /// How long a coordinator may use a share after it sent the stamp that the share's owner echoes
-/// back, in milliseconds: four rounds of [`ROUND_MS`], so that the loss of single datagrams has no
-/// effect.
-pub const LEASE_MS: u64 = 800;
+/// back, in milliseconds: four rounds of [`ROUND_INTERVAL_MS`], so that the loss of single
+/// datagrams has no effect.
+pub const LEASE_DURATION_MS: u64 = 800;
 /// The time between two rounds of lease messages of a host, in milliseconds.
-pub const ROUND_MS: u64 = 200;
+pub const ROUND_INTERVAL_MS: u64 = 200;
 /// A granted token must be used within this time after it was requested, in milliseconds: the round
 /// trip between distant regions, and some delay on small hosts.
 pub const TOKEN_LIFETIME_MS: u64 = 250;
 /// The maximum number of coordinators that are asked for one request, so that a refusal comes after
-/// [`NEAR_WAIT_MS`] and [`FAR_WAIT_MS`] at the latest.
-pub const MOST_ASKED: usize = 2;
+/// [`LOCAL_ANSWER_TIMEOUT_MS`] and [`REMOTE_ANSWER_TIMEOUT_MS`] at the latest.
+pub const MAX_ASKED: usize = 2;
 /// Timeout for the answer of a coordinator of the own region, in milliseconds: a few round trips,
 /// and the scheduling delay on a small host, which may reach 100 ms.
-pub const NEAR_WAIT_MS: u64 = 120;
+pub const LOCAL_ANSWER_TIMEOUT_MS: u64 = 120;
 /// Timeout for the answer of a coordinator of another region, in milliseconds; a token is valid for
 /// little longer.
-pub const FAR_WAIT_MS: u64 = 200;
+pub const REMOTE_ANSWER_TIMEOUT_MS: u64 = 200;
 /// The share of its bucket capacity that a process starts with: otherwise the first requests after
 /// a restart of all hosts would wait for tokens to accrue.
-const START_SHARE: f64 = 0.25;
+const INITIAL_FILL_SHARE: f64 = 0.25;
 /// The number of starts of one host within a window that the bound allows for.
 const MAX_STARTS_PER_WINDOW: f64 = 2.0;
 /// The minimum share of the bound that is left for bucket capacity: if the rate took nearly all of
@@ -90,16 +90,16 @@
     /// The bucket configuration for all hosts together: the tokens of a window, and those granted
     /// up to one token lifetime before it, do not exceed [`Self::allowed`].
     #[must_use]
-    pub fn pace(&self) -> BucketPace {
+    pub fn bucket_config(&self) -> BucketConfig {
         let allowed = self.allowed();
         let counted_s = self.tolerance.window_s + TOKEN_LIFETIME_MS as f64 / 1_000.0;
         // Half of the excess raises the rate, the other half the capacity.
         let target_per_s = self.limit.per_s * (1.0 + self.tolerance.excess / 2.0);
         let per_s = target_per_s.min(allowed * (1.0 - MIN_CAPACITY_SHARE) / counted_s);
-        let left = allowed - per_s * counted_s;
-        BucketPace {
+        let remaining = allowed - per_s * counted_s;
+        BucketConfig {
             per_s,
-            most: left / (1.0 + START_SHARE * MAX_STARTS_PER_WINDOW),
+            capacity: remaining / (1.0 + INITIAL_FILL_SHARE * MAX_STARTS_PER_WINDOW),
         }
     }
 }
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -124,7 +124,7 @@
 
     /// Chooses a server, and finds the right to send to it where it names a limit.
     async fn choose_with_right(&self) -> Result<(ChosenServer, SendToken), RequestFailure> {
-        for _ in 0..server_limit::MOST_ASKED {
+        for _ in 0..server_limit::MAX_SERVERS_ASKED {
             let chosen = self.choose()?;
             if let Some(right) = self.host.acquire_send_token(&chosen.server).await {
                 return Ok((chosen, right));
--- a/src/entry/server_limit/mod.rs
+++ b/src/entry/server_limit/mod.rs
@@ -22,19 +22,19 @@
 
 /// Upper bound of the wait that a denial reports, in milliseconds: by then the limit may have
 /// changed.
-pub const LONGEST_WAIT_MS: u64 = 4_000;
+pub const MAX_WAIT_MS: u64 = 4_000;
 /// A server whose limit owner did not answer, or is unknown, is skipped for this long, in
 /// milliseconds: hosts that disagree about the owner have learned of each other by then.
-pub const UNANSWERED_MS: u64 = 300;
+pub const UNANSWERED_SKIP_MS: u64 = 300;
 /// Minimum requests a second that are sent to a server whose limit is lower, or 0: some host must
 /// notice the end of the limit.
-pub const LEAST_PER_S: f64 = 0.25;
+pub const MIN_PER_S: f64 = 0.25;
 /// What a limit owner may hold in addition to one token, in seconds of the limit: requests arrive
 /// in bursts.
-pub const HELD_S: f64 = 0.5;
+pub const BURST_S: f64 = 0.5;
 /// The maximum number of servers for which a token is requested on behalf of one request: each
 /// attempt costs a round trip to a limit owner.
-pub const MOST_ASKED: usize = 3;
+pub const MAX_SERVERS_ASKED: usize = 3;
 /// A token must be used within this time after it was requested, in milliseconds.
 pub const TOKEN_LIFETIME_MS: u64 = 250;
 /// Updates in one heartbeat, taken round robin, for hosts that missed them; about 16 bytes each.
--- a/src/entry/server_limit/table.rs
+++ b/src/entry/server_limit/table.rs
@@ -2,8 +2,8 @@
 
 use super::message::LimitUpdate;
 use super::rate::{AdvertisedLimit, RequestRate};
-use super::{ENDED_RETENTION_MS, HELD_S, LEAST_PER_S, LONGEST_WAIT_MS, UPDATES_PER_HEARTBEAT};
-use crate::entry::limits::bucket::{BucketPace, TokenBucket};
+use super::{BURST_S, ENDED_RETENTION_MS, MAX_WAIT_MS, MIN_PER_S, UPDATES_PER_HEARTBEAT};
+use crate::entry::limits::bucket::{BucketConfig, TokenBucket};
 use crate::entry::limits::message::TokenVerdict;
 use crate::timer::Moment;
 
@@ -251,7 +251,7 @@
     fn set(&mut self, version: u32, rate: Option<RequestRate>, now: Moment) {
         if let Some(before) = self.update.rate {
             // Tokens up to now accrue at the previous limit.
-            self.bucket.fill(&bucket_config(before), now);
+            self.bucket.refill(&bucket_config(before), now);
         } else {
             self.period = self.period.wrapping_add(1);
             self.is_owner = false;
@@ -269,17 +269,17 @@
 
     /// Denials report times that are one token apart, so that many hosts that each want few tokens
     /// do not all ask for every token.
-    fn grant(&mut self, pace: &BucketPace, now: Moment) -> TokenVerdict {
-        self.bucket.fill(pace, now);
+    fn grant(&mut self, config: &BucketConfig, now: Moment) -> TokenVerdict {
+        self.bucket.refill(config, now);
         if self.bucket.take(1.0) {
             return TokenVerdict::Granted;
         }
-        let token_interval_ms = (1_000.0 / pace.per_s).min(LONGEST_WAIT_MS as f64);
+        let token_interval_ms = (1_000.0 / config.per_s).min(MAX_WAIT_MS as f64);
         let missing_ms = (1.0 - self.bucket.tokens()) * token_interval_ms;
         // Each value is at most the longest wait, by the lines around.
         let next = now.plus(missing_ms.ceil() as u64);
         let available_at = next.max(self.promised_until.plus(token_interval_ms as u64));
-        let available_at = available_at.min(now.plus(LONGEST_WAIT_MS));
+        let available_at = available_at.min(now.plus(MAX_WAIT_MS));
         self.promised_until = available_at;
         TokenVerdict::Denied {
             available_in_ms: u32::try_from(available_at.since(now))
@@ -291,10 +291,10 @@
 
 /// The bucket configuration for a limit: refills at the rate that the server takes, and holds one
 /// token plus those of half a second.
-fn bucket_config(rate: RequestRate) -> BucketPace {
-    let per_s = rate.per_s().max(LEAST_PER_S);
-    BucketPace {
+fn bucket_config(rate: RequestRate) -> BucketConfig {
+    let per_s = rate.per_s().max(MIN_PER_S);
+    BucketConfig {
         per_s,
-        most: 1.0 + HELD_S * per_s,
+        capacity: 1.0 + BURST_S * per_s,
     }
 }
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -9,7 +9,7 @@
 use super::gossip;
 use super::host::EntryHost;
 use super::limits::message::TokenVerdict;
-use super::limits::{FAR_WAIT_MS, NEAR_WAIT_MS};
+use super::limits::{LOCAL_ANSWER_TIMEOUT_MS, REMOTE_ANSWER_TIMEOUT_MS};
 use super::peer_message::PeerMessage;
 use super::peers::{KeeperPlace, KeeperQuery};
 use super::pending_answers::PendingAnswers;
@@ -19,7 +19,7 @@
 use super::server_limit::rate::{AdvertisedLimit, RequestRate};
 use super::server_limit::table::{LimitChange, LimitPeriod, ServerLimitTable};
 use super::server_limit::token::SendToken;
-use super::server_limit::{TOKEN_LIFETIME_MS, UNANSWERED_MS, UPDATES_PER_DATAGRAM};
+use super::server_limit::{TOKEN_LIFETIME_MS, UNANSWERED_SKIP_MS, UPDATES_PER_DATAGRAM};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
@@ -116,7 +116,7 @@
             }
             Some(TokenVerdict::NotHere) | None => {
                 metrics.send_rights_unanswered += 1;
-                UNANSWERED_MS
+                UNANSWERED_SKIP_MS
             }
         };
         let mut table = self.server_limits.table.borrow_mut();
@@ -160,7 +160,11 @@
             reply_to: None,
         });
         gossip::send(self, &PeerMessage::ServerLimit(request), &[address]);
-        let wait_ms = if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS };
+        let wait_ms = if is_near {
+            LOCAL_ANSWER_TIMEOUT_MS
+        } else {
+            REMOTE_ANSWER_TIMEOUT_MS
+        };
         let wait = time::Duration::from_millis(wait_ms);
         let answer = self
             .server_limits
--- a/src/limit_experiment/faults.rs
+++ b/src/limit_experiment/faults.rs
@@ -3,14 +3,14 @@
 use rand::Rng as _;
 
 use super::scenario::{LimitFault, LimitFaultKind};
-use super::ways::LimitWay;
+use super::strategies::LimitStrategy;
 use super::world::{LimitWorld, WorldEvent};
 
 /// Minimum downtime of a killed host, in milliseconds: it restarts within the lease of its previous
 /// run.
 const MIN_DOWNTIME_MS: u64 = 200;
 
-impl<W: LimitWay> LimitWorld<'_, W> {
+impl<W: LimitStrategy> LimitWorld<'_, W> {
     pub(super) fn on_begin(&mut self, fault: LimitFault) {
         match fault.kind {
             LimitFaultKind::Press { customer, factor } => {
@@ -25,10 +25,10 @@
                 for partition in &mut self.partition_of {
                     *partition = self.random.random_range(0..parts);
                 }
-                self.cut_since = Some(self.now);
+                self.partitioned_since = Some(self.now);
             }
             LimitFaultKind::Gather { region } => {
-                self.gathered = Some(region as usize % self.scenario.regions as usize);
+                self.target_region = Some(region as usize % self.scenario.regions as usize);
             }
             LimitFaultKind::Lower { customer, factor } => {
                 let number = customer as usize % self.customers.len();
@@ -60,7 +60,7 @@
         started.run += 1;
         started.is_alive = true;
         started.changed_at = self.now;
-        started.way = W::start(host, started.run, self.now);
+        started.strategy = W::start(host, started.run, self.now);
         let run = started.run;
         self.schedule(0, WorldEvent::Round { host, run });
     }
@@ -71,8 +71,8 @@
                 let number = customer as usize % self.customers.len();
                 self.customers[number].load_factor = 1.0;
             }
-            LimitFaultKind::Cut { .. } => self.cut_since = None,
-            LimitFaultKind::Gather { .. } => self.gathered = None,
+            LimitFaultKind::Cut { .. } => self.partitioned_since = None,
+            LimitFaultKind::Gather { .. } => self.target_region = None,
             LimitFaultKind::Kill { .. } | LimitFaultKind::Lower { .. } => {}
         }
     }
--- a/src/limit_experiment/fixed_parts.rs
+++ b/src/limit_experiment/fixed_shares.rs
@@ -1,7 +1,7 @@
 //! Enforces limits by fixed shares alone: tracks what this host has left of its share of each
 //! customer's limit.
 
-use super::fixed_share::{self, HostShare};
+use super::host_share::{self, HostSet};
 use crate::entry::hash;
 use crate::entry::limits::LimitBound;
 use crate::entry::limits::bucket::TokenBucket;
@@ -9,7 +9,7 @@
 
 /// The share of its bucket capacity that a process starts with: several starts of a host within one
 /// window must not add up to more than its share.
-const START_SHARE: f64 = 0.5;
+const INITIAL_FILL_SHARE: f64 = 0.5;
 
 /// Whether a request may be let through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,33 +25,32 @@
 
 /// The buckets of this host.
 #[derive(Debug, Default)]
-pub struct FixedParts {
+pub struct FixedShares {
     buckets: rustc_hash::FxHashMap<String, TokenBucket>,
 }
 
-impl FixedParts {
+impl FixedShares {
     /// Lets one request of `customer` through if this host's share has a token left.
     pub fn admit(
         &mut self,
         customer: &str,
         bound: &LimitBound,
-        share: &HostShare<'_>,
+        hosts: &HostSet<'_>,
         now: Moment,
     ) -> FixedVerdict {
-        let part = fixed_share::own_part(bound, share, hash::of_name(customer));
+        let own_share = host_share::own_share(bound, hosts, hash::of_name(customer));
         let bucket = match self.buckets.get_mut(customer) {
             Some(bucket) => bucket,
-            None => self
-                .buckets
-                .entry(customer.to_owned())
-                .or_insert_with(|| TokenBucket::with_tokens(part.most * START_SHARE, now)),
+            None => self.buckets.entry(customer.to_owned()).or_insert_with(|| {
+                TokenBucket::with_tokens(own_share.capacity * INITIAL_FILL_SHARE, now)
+            }),
         };
-        bucket.fill(&part, now);
+        bucket.refill(&own_share, now);
         if bucket.take(1.0) {
             return FixedVerdict::Admitted;
         }
-        let wait_s = if part.per_s > 0.0 {
-            (1.0 - bucket.tokens()) / part.per_s
+        let wait_s = if own_share.per_s > 0.0 {
+            (1.0 - bucket.tokens()) / own_share.per_s
         } else {
             bound.tolerance.window_s
         };
--- a/src/limit_experiment/fixed_share.rs
+++ b/src/limit_experiment/host_share.rs
@@ -2,11 +2,11 @@
 
 use crate::entry::hash;
 use crate::entry::limits::LimitBound;
-use crate::entry::limits::bucket::BucketPace;
+use crate::entry::limits::bucket::BucketConfig;
 
 /// The hosts that share a limit, as one of them knows them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HostShare<'a> {
+pub struct HostSet<'a> {
     /// The number of all hosts; too high a number makes the shares smaller, which is safe.
     pub hosts: u32,
     /// A hash of this host's name.
@@ -22,29 +22,29 @@
 /// as many hosts as there are tokens get one each, the first by a hash of host and customer.
 /// Otherwise the shares of a small customer would all be too small for one request.
 #[must_use]
-pub fn own_part(bound: &LimitBound, share: &HostShare<'_>, customer: u64) -> BucketPace {
+pub fn own_share(bound: &LimitBound, set: &HostSet<'_>, customer: u64) -> BucketConfig {
     let per_s = bound.limit.per_s;
-    let beside = (bound.allowed() - per_s * bound.tolerance.window_s).max(0.0);
-    let hosts = f64::from(share.hosts.max(1));
-    if beside >= hosts {
-        return BucketPace {
+    let extra = (bound.allowed() - per_s * bound.tolerance.window_s).max(0.0);
+    let hosts = f64::from(set.hosts.max(1));
+    if extra >= hosts {
+        return BucketConfig {
             per_s: per_s / hosts,
-            most: beside / hosts,
+            capacity: extra / hosts,
         };
     }
-    let place = |host: u64| hash::mix(host ^ customer);
-    let own_place = place(share.own_hash);
-    let before = share.other_hashes.iter();
-    let before = before.filter(|host| place(**host) < own_place).count();
-    let holders = beside.floor();
-    if before as f64 >= holders {
-        return BucketPace {
+    let rank = |host: u64| hash::mix(host ^ customer);
+    let own_rank = rank(set.own_hash);
+    let ranked_before = set.other_hashes.iter();
+    let ranked_before = ranked_before.filter(|host| rank(**host) < own_rank).count();
+    let holders = extra.floor();
+    if ranked_before as f64 >= holders {
+        return BucketConfig {
             per_s: 0.0,
-            most: 0.0,
+            capacity: 0.0,
         };
     }
-    BucketPace {
+    BucketConfig {
         per_s: per_s / holders,
-        most: 1.0,
+        capacity: 1.0,
     }
 }
--- a/src/limit_experiment/mod.rs
+++ b/src/limit_experiment/mod.rs
@@ -1,16 +1,16 @@
 //! Simulates limits of customers over many hosts, without sockets and clocks: runs the same
-//! requests and faults under each strategy of [`ways`], and reports what each one let through and
-//! refused.
+//! requests and faults under each strategy of [`strategies`], and reports what each one let through
+//! and refused.
 //!
 //! [`scenario`] describes the load and faults, [`world`] runs the simulation, [`report`] summarizes
 //! it, [`plot`] draws it.
 
 mod customer;
 mod faults;
-pub mod fixed_parts;
-pub mod fixed_share;
+pub mod fixed_shares;
+pub mod host_share;
 pub mod plot;
 pub mod report;
 pub mod scenario;
-pub mod ways;
+pub mod strategies;
 pub mod world;
--- a/src/limit_experiment/plot.rs
+++ b/src/limit_experiment/plot.rs
@@ -24,7 +24,7 @@
 fn curve(report: &LimitReport) -> ChartCurve<'_> {
     let counts = report.customers.iter().enumerate();
     ChartCurve {
-        name: report.way,
+        name: report.strategy,
         points: counts
             .map(|(number, count)| (number as f64, count.fullest))
             .collect(),
--- a/src/limit_experiment/report.rs
+++ b/src/limit_experiment/report.rs
@@ -29,7 +29,8 @@
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct LimitReport {
     /// The name of the strategy.
-    pub way: &'static str,
+    #[serde(rename = "way")]
+    pub strategy: &'static str,
     /// Requests of all customers.
     pub sent: u64,
     /// Requests that a single bucket that sees all requests would have let through.
@@ -52,7 +53,7 @@
     /// Sums up the counts of all customers.
     #[must_use]
     pub fn from_counts(
-        way: &'static str,
+        strategy: &'static str,
         customers: Vec<CustomerCount>,
         bytes_per_s: f64,
         messages_per_s: f64,
@@ -60,7 +61,7 @@
         let owed: u64 = customers.iter().map(|count| count.owed).sum();
         let below: u64 = customers.iter().map(CustomerCount::refused_below).sum();
         Self {
-            way,
+            strategy,
             sent: customers.iter().map(|count| count.sent).sum(),
             owed,
             refused_below: below as f64 / (owed as f64).max(1.0),
@@ -91,7 +92,7 @@
             writeln!(
                 f,
                 "| {} | {} | {:.2} % | {} | {:.2} | {:.0} | {:.0} |",
-                report.way,
+                report.strategy,
                 report.sent,
                 100.0 * report.refused_below,
                 report.broken,
--- a/src/limit_experiment/ways/counts.rs
+++ b/src/limit_experiment/strategies/counts.rs
@@ -2,7 +2,7 @@
 
 use std::collections;
 
-use super::{HostView, LimitWay, SentMessage, SimDecision, SimRequest};
+use super::{HostView, LimitStrategy, SentMessage, SimDecision, SimRequest};
 use crate::entry::limits::LimitBound;
 use crate::timer::Moment;
 
@@ -16,14 +16,14 @@
 /// that it knows reaches the limit. A host that is missing reports of others uses a correspondingly
 /// smaller share.
 #[derive(Debug)]
-pub struct CountsWay {
+pub struct CountsStrategy {
     own: usize,
     unsent: collections::BTreeMap<u64, u32>,
     known: collections::HashMap<u64, collections::VecDeque<(Moment, u32)>>,
     last_reports: collections::HashMap<usize, Moment>,
 }
 
-impl CountsWay {
+impl CountsStrategy {
     /// A host counts as alive for this long after its last report, in milliseconds.
     const REPORT_TIMEOUT_MS: u64 = 1_000;
 
@@ -46,7 +46,7 @@
     }
 }
 
-impl LimitWay for CountsWay {
+impl LimitStrategy for CountsStrategy {
     type Message = CountReport;
 
     const NAME: &'static str = "counts told";
--- a/src/limit_experiment/ways/fixed.rs
+++ b/src/limit_experiment/strategies/fixed.rs
@@ -1,25 +1,25 @@
 //! Fixed shares: hosts send no messages to each other.
 
-use super::{HostView, LimitWay, SentMessage, SimDecision, SimRequest};
+use super::{HostView, LimitStrategy, SentMessage, SimDecision, SimRequest};
 use crate::entry::hash;
-use crate::limit_experiment::fixed_parts::{FixedParts, FixedVerdict};
-use crate::limit_experiment::fixed_share::HostShare;
+use crate::limit_experiment::fixed_shares::{FixedShares, FixedVerdict};
+use crate::limit_experiment::host_share::HostSet;
 use crate::timer::Moment;
 
 /// Each host uses its own share alone.
 #[derive(Debug)]
-pub struct FixedWay {
-    parts: FixedParts,
+pub struct FixedStrategy {
+    shares: FixedShares,
 }
 
-impl LimitWay for FixedWay {
+impl LimitStrategy for FixedStrategy {
     type Message = ();
 
     const NAME: &'static str = "fixed parts";
 
     fn start(_own: usize, _run: u64, _now: Moment) -> Self {
         Self {
-            parts: FixedParts::default(),
+            shares: FixedShares::default(),
         }
     }
 
@@ -33,13 +33,13 @@
         let name = |host| hash::of_name(&HostView::name(host));
         let others = (0..view.regions.len()).filter(|host| *host != view.own);
         let others: Vec<u64> = others.map(name).collect();
-        let share = HostShare {
+        let hosts = HostSet {
             hosts: view.hosts,
             own_hash: name(view.own),
             other_hashes: &others,
         };
         let customer = format!("{:x}", request.customer);
-        match self.parts.admit(&customer, &request.bound, &share, now) {
+        match self.shares.admit(&customer, &request.bound, &hosts, now) {
             FixedVerdict::Admitted => SimDecision::Admit,
             FixedVerdict::Refused { .. } => SimDecision::Refuse,
         }
--- a/src/limit_experiment/ways/mod.rs
+++ b/src/limit_experiment/strategies/mod.rs
@@ -4,9 +4,9 @@
 mod fixed;
 mod pooled;
 
-pub use self::counts::CountsWay;
-pub use self::fixed::FixedWay;
-pub use self::pooled::PooledWay;
+pub use self::counts::CountsStrategy;
+pub use self::fixed::FixedStrategy;
+pub use self::pooled::PooledStrategy;
 use crate::entry::hash;
 use crate::entry::limits::LimitBound;
 use crate::timer::Moment;
@@ -80,7 +80,7 @@
 }
 
 /// A strategy to enforce limits, as one host runs it.
-pub trait LimitWay {
+pub trait LimitStrategy {
     /// A message between hosts.
     type Message: Clone + serde::Serialize;
 
--- a/src/limit_experiment/ways/pooled.rs
+++ b/src/limit_experiment/strategies/pooled.rs
@@ -2,16 +2,18 @@
 
 use std::collections;
 
-use super::{HostView, LimitWay, SentMessage, SimDecision, SimRequest};
+use super::{HostView, LimitStrategy, SentMessage, SimDecision, SimRequest};
 use crate::entry::limits::coordinator::LimitCoordinator;
 use crate::entry::limits::member::{AdmissionStep, CoordinatorList, LimitMember};
 use crate::entry::limits::message::{LimitMessage, TokenAnswer, TokenRequest, TokenVerdict};
-use crate::entry::limits::{self, FAR_WAIT_MS, GROUPS, LimitBound, NEAR_WAIT_MS};
+use crate::entry::limits::{
+    self, GROUPS, LOCAL_ANSWER_TIMEOUT_MS, LimitBound, REMOTE_ANSWER_TIMEOUT_MS,
+};
 use crate::timer::Moment;
 
 /// Shares are leased to coordinators, which grant single tokens.
 #[derive(Debug)]
-pub struct PooledWay {
+pub struct PooledStrategy {
     own: usize,
     member: LimitMember,
     coordinator: LimitCoordinator,
@@ -26,7 +28,7 @@
     coordinator: String,
 }
 
-impl PooledWay {
+impl PooledStrategy {
     fn update_coordinators(&mut self, view: &HostView, now: Moment) {
         let region = view.regions[view.own];
         let regions = 1 + view.regions.iter().copied().max().unwrap_or(0);
@@ -80,19 +82,23 @@
                     reply_to: None,
                 }),
             });
-            let is_near = list.is_local(&coordinator);
+            let is_local = list.is_local(&coordinator);
             let waiting = WaitingRequest {
                 request: *request,
                 asked,
                 coordinator,
             };
             self.waiting.insert(id, waiting);
-            return SimDecision::Wait(if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS });
+            return SimDecision::Wait(if is_local {
+                LOCAL_ANSWER_TIMEOUT_MS
+            } else {
+                REMOTE_ANSWER_TIMEOUT_MS
+            });
         }
     }
 }
 
-impl LimitWay for PooledWay {
+impl LimitStrategy for PooledStrategy {
     type Message = LimitMessage;
 
     const NAME: &'static str = "rights that move";
@@ -127,8 +133,8 @@
                 view.coordinator(region, group, |name| member.is_skipped(name, now))
             })
             .collect();
-        let wanted = std::array::from_fn(|group| preferred[group].as_deref());
-        for offer in self.member.round(view.hosts, wanted, now) {
+        let preferred_names = std::array::from_fn(|group| preferred[group].as_deref());
+        for offer in self.member.round(view.hosts, preferred_names, now) {
             let to = HostView::number(&offer.to).unwrap_or(self.own);
             let message = LimitMessage::Offer(offer.offer);
             out.push(SentMessage { to, message });
--- a/src/limit_experiment/world.rs
+++ b/src/limit_experiment/world.rs
@@ -9,8 +9,8 @@
 use super::customer::SimCustomer;
 use super::report::LimitReport;
 use super::scenario::{LimitFault, LimitScenario};
-use super::ways::{self, HostView, LimitWay, SentMessage, SimDecision, SimRequest};
-use crate::entry::limits::ROUND_MS;
+use super::strategies::{self, HostView, LimitStrategy, SentMessage, SimDecision, SimRequest};
+use crate::entry::limits::ROUND_INTERVAL_MS;
 use crate::timer::Moment;
 
 /// How long the other hosts take a host that stopped answering for alive, in milliseconds.
@@ -21,19 +21,34 @@
 /// An event of the simulation.
 #[derive(Debug, Clone)]
 pub(super) enum WorldEvent<M> {
-    Arrive { customer: usize },
-    Round { host: usize, run: u64 },
-    Deliver { from: usize, to: usize, message: M },
-    WaitEnded { host: usize, id: u64, wait: u64 },
+    Arrive {
+        customer: usize,
+    },
+    Round {
+        host: usize,
+        run: u64,
+    },
+    Deliver {
+        from: usize,
+        to: usize,
+        message: M,
+    },
+    WaitEnded {
+        host: usize,
+        id: u64,
+        wait_number: u64,
+    },
     Begin(LimitFault),
     End(LimitFault),
-    Start { host: usize },
+    Start {
+        host: usize,
+    },
 }
 
 /// The state of one simulated host.
 #[derive(Debug)]
 pub(super) struct SimHost<W> {
-    pub(super) way: W,
+    pub(super) strategy: W,
     pub(super) run: u64,
     pub(super) is_alive: bool,
     pub(super) changed_at: Moment,
@@ -41,7 +56,7 @@
 }
 
 /// One simulation run.
-pub struct LimitWorld<'a, W: LimitWay> {
+pub struct LimitWorld<'a, W: LimitStrategy> {
     pub(super) scenario: &'a LimitScenario,
     pub(super) now: Moment,
     sequence: u64,
@@ -53,14 +68,14 @@
     by_name: HashMap<u64, usize>,
     pub(super) random: SmallRng,
     pub(super) partition_of: Vec<u32>,
-    pub(super) cut_since: Option<Moment>,
-    pub(super) gathered: Option<usize>,
+    pub(super) partitioned_since: Option<Moment>,
+    pub(super) target_region: Option<usize>,
     next_id: u64,
     bytes: u64,
     messages: u64,
 }
 
-impl<W: LimitWay> std::fmt::Debug for LimitWorld<'_, W> {
+impl<W: LimitStrategy> std::fmt::Debug for LimitWorld<'_, W> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("LimitWorld")
             .field("now", &self.now)
@@ -71,7 +86,7 @@
 
 /// Simulates `scenario` with random numbers from `seed`.
 #[must_use]
-pub fn play<W: LimitWay>(scenario: &LimitScenario, seed: u64) -> LimitReport {
+pub fn simulate<W: LimitStrategy>(scenario: &LimitScenario, seed: u64) -> LimitReport {
     let mut world = LimitWorld::<W>::begin(scenario, seed);
     while let Some(Reverse((at, sequence))) = world.events.pop() {
         if at > scenario.length_ms {
@@ -85,11 +100,11 @@
     world.report()
 }
 
-impl<'a, W: LimitWay> LimitWorld<'a, W> {
+impl<'a, W: LimitStrategy> LimitWorld<'a, W> {
     fn begin(scenario: &'a LimitScenario, seed: u64) -> Self {
         let count = scenario.hosts as usize;
         let start = |own| SimHost {
-            way: W::start(own, 1, Moment(0)),
+            strategy: W::start(own, 1, Moment(0)),
             run: 1,
             is_alive: true,
             changed_at: Moment(0),
@@ -117,14 +132,14 @@
             customers,
             random: SmallRng::seed_from_u64(seed),
             partition_of: vec![0; count],
-            cut_since: None,
-            gathered: None,
+            partitioned_since: None,
+            target_region: None,
             next_id: 0,
             bytes: 0,
             messages: 0,
         };
         for host in 0..count {
-            let first = world.random.random_range(0..ROUND_MS);
+            let first = world.random.random_range(0..ROUND_INTERVAL_MS);
             world.schedule(first, WorldEvent::Round { host, run: 1 });
         }
         for customer in 0..world.customers.len() {
@@ -156,7 +171,11 @@
             }
             WorldEvent::Round { host, run } => self.on_round(host, run),
             WorldEvent::Deliver { from, to, message } => self.on_message(from, to, &message),
-            WorldEvent::WaitEnded { host, id, wait } => self.on_wait_ended(host, id, wait),
+            WorldEvent::WaitEnded {
+                host,
+                id,
+                wait_number,
+            } => self.on_wait_ended(host, id, wait_number),
             WorldEvent::Begin(fault) => self.on_begin(fault),
             WorldEvent::End(fault) => self.on_end(fault),
             WorldEvent::Start { host } => self.on_start(host),
@@ -165,16 +184,16 @@
 
     fn on_arrival(&mut self, customer: usize) {
         let now = self.now;
-        let open: Vec<usize> = (0..self.hosts.len())
+        let candidates: Vec<usize> = (0..self.hosts.len())
             .filter(|host| self.hosts[*host].is_alive)
             .filter(|host| {
-                self.gathered
+                self.target_region
                     .is_none_or(|region| self.regions[*host] == region)
             })
             .collect();
         let sender = &mut self.customers[customer];
         sender.on_arrival(now);
-        if open.is_empty() {
+        if candidates.is_empty() {
             sender.count.refused += 1;
             return;
         }
@@ -184,11 +203,11 @@
             customer: sender.name,
             bound: sender.bound,
         };
-        let host = open[self.random.random_range(0..open.len())];
+        let host = candidates[self.random.random_range(0..candidates.len())];
         let view = self.view(host);
         let mut out = Vec::new();
-        let way = &mut self.hosts[host].way;
-        let decision = way.on_request(&request, &view, now, &mut out);
+        let strategy = &mut self.hosts[host].strategy;
+        let decision = strategy.on_request(&request, &view, now, &mut out);
         self.send_all(host, out);
         self.apply_decision(host, request, customer, decision, 0);
     }
@@ -199,17 +218,24 @@
         request: SimRequest,
         customer: usize,
         decision: SimDecision,
-        wait: u64,
+        wait_number: u64,
     ) {
         match decision {
             SimDecision::Admit => self.customers[customer].on_admitted(self.now),
             SimDecision::Refuse => self.customers[customer].count.refused += 1,
-            SimDecision::Wait(millis) => {
-                let wait = wait + 1;
+            SimDecision::Wait(timeout_ms) => {
+                let wait_number = wait_number + 1;
                 let waiting = &mut self.hosts[host].waiting;
-                waiting.insert(request.id, (request, customer, wait));
+                waiting.insert(request.id, (request, customer, wait_number));
                 let id = request.id;
-                self.schedule(millis, WorldEvent::WaitEnded { host, id, wait });
+                self.schedule(
+                    timeout_ms,
+                    WorldEvent::WaitEnded {
+                        host,
+                        id,
+                        wait_number,
+                    },
+                );
             }
         }
     }
@@ -220,50 +246,52 @@
         }
         let view = self.view(host);
         let mut out = Vec::new();
-        self.hosts[host].way.on_round(&view, self.now, &mut out);
+        self.hosts[host]
+            .strategy
+            .on_round(&view, self.now, &mut out);
         self.send_all(host, out);
-        self.schedule(ROUND_MS, WorldEvent::Round { host, run });
+        self.schedule(ROUND_INTERVAL_MS, WorldEvent::Round { host, run });
     }
 
     fn on_message(&mut self, from: usize, to: usize, message: &W::Message) {
-        if !self.hosts[to].is_alive || self.is_cut(from, to) {
+        if !self.hosts[to].is_alive || self.is_partitioned(from, to) {
             return;
         }
         let mut out = Vec::new();
         let customers = &self.customers;
         let by_name = &self.by_name;
         let bound_of = |name: u64| customers[by_name[&name]].bound;
-        let way = &mut self.hosts[to].way;
-        let decided = way.on_message(from, message, &bound_of, self.now, &mut out);
+        let strategy = &mut self.hosts[to].strategy;
+        let decided = strategy.on_message(from, message, &bound_of, self.now, &mut out);
         self.send_all(to, out);
         let Some((id, decision)) = decided else {
             return;
         };
-        if let Some((request, customer, wait)) = self.hosts[to].waiting.remove(&id) {
-            self.apply_decision(to, request, customer, decision, wait);
+        if let Some((request, customer, wait_number)) = self.hosts[to].waiting.remove(&id) {
+            self.apply_decision(to, request, customer, decision, wait_number);
         }
     }
 
-    fn on_wait_ended(&mut self, host: usize, id: u64, wait: u64) {
-        let is_due = |waiting: &(SimRequest, usize, u64)| waiting.2 == wait;
+    fn on_wait_ended(&mut self, host: usize, id: u64, wait_number: u64) {
+        let is_due = |waiting: &(SimRequest, usize, u64)| waiting.2 == wait_number;
         if !self.hosts[host].waiting.get(&id).is_some_and(is_due) {
             return;
         }
-        let Some((request, customer, wait)) = self.hosts[host].waiting.remove(&id) else {
+        let Some((request, customer, wait_number)) = self.hosts[host].waiting.remove(&id) else {
             return;
         };
         let mut out = Vec::new();
-        let way = &mut self.hosts[host].way;
-        let decision = way.on_wait_ended(&request, self.now, &mut out);
+        let strategy = &mut self.hosts[host].strategy;
+        let decision = strategy.on_wait_ended(&request, self.now, &mut out);
         self.send_all(host, out);
-        self.apply_decision(host, request, customer, decision, wait);
+        self.apply_decision(host, request, customer, decision, wait_number);
     }
 
     fn send_all(&mut self, from: usize, out: Vec<SentMessage<W::Message>>) {
         for sent in out {
             let to = sent.to;
             self.messages += 1;
-            self.bytes += ways::encoded_size(&sent.message) as u64;
+            self.bytes += strategies::encoded_size(&sent.message) as u64;
             if self.random.random_bool(self.scenario.loss) {
                 continue;
             }
@@ -284,8 +312,8 @@
         }
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cut_since.is_some() && self.partition_of[from] != self.partition_of[to]
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        self.partitioned_since.is_some() && self.partition_of[from] != self.partition_of[to]
     }
 
     fn view(&self, own: usize) -> HostView {
@@ -294,13 +322,14 @@
             let other = &self.hosts[host];
             let is_detected = self.now.since(other.changed_at) > START_DETECTION_MS
                 || other.changed_at == Moment(0);
-            let cut_off = self.is_cut(own, host) && self.cut_since.is_some_and(noticed);
+            let partition_noticed =
+                self.is_partitioned(own, host) && self.partitioned_since.is_some_and(noticed);
             let seen = if other.is_alive {
                 is_detected
             } else {
                 !noticed(other.changed_at)
             };
-            host == own || (seen && !cut_off)
+            host == own || (seen && !partition_noticed)
         };
         HostView {
             own,
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -10,8 +10,8 @@
 use ledgespool::entry::limits::message::{LeaseOffer, TokenVerdict};
 use ledgespool::entry::limits::{self, GROUPS, LimitBound, LimitTolerance};
 use ledgespool::entry::metrics_page::{CurrentFigures, EntryMetrics};
-use ledgespool::limit_experiment::fixed_parts::{FixedParts, FixedVerdict};
-use ledgespool::limit_experiment::fixed_share::{self, HostShare};
+use ledgespool::limit_experiment::fixed_shares::{FixedShares, FixedVerdict};
+use ledgespool::limit_experiment::host_share::{self, HostSet};
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
@@ -39,7 +39,7 @@
     /// Whatever all hosts let through in a window that starts with full buckets is within the
     /// bound.
     #[test]
-    fn fixed_parts_sum_up_to_no_more_than_the_bound(
+    fn fixed_shares_never_exceed_the_bound(
         hosts in 1_u32..500,
         per_s in 0.1_f64..500.0,
         burst in 0.0_f64..500.0,
@@ -47,14 +47,14 @@
     ) {
         let bound = bound(per_s, burst);
         let hashes = host_hashes(hosts);
-        let mut most = 0.0;
+        let mut max_admitted = 0.0;
         for own in &hashes {
             let others: Vec<u64> = hashes.iter().copied().filter(|hash| hash != own).collect();
-            let share = HostShare { hosts, own_hash: *own, other_hashes: &others };
-            let part = fixed_share::own_part(&bound, &share, customer);
-            most += part.per_s * TOLERANCE.window_s + part.most;
+            let host_set = HostSet { hosts, own_hash: *own, other_hashes: &others };
+            let share = host_share::own_share(&bound, &host_set, customer);
+            max_admitted += share.per_s * TOLERANCE.window_s + share.capacity;
         }
-        prop_assert!(most <= bound.allowed() * (1.0 + 1e-9), "{most} of {}", bound.allowed());
+        prop_assert!(max_admitted <= bound.allowed() * (1.0 + 1e-9), "{max_admitted} of {}", bound.allowed());
     }
 }
 
@@ -62,7 +62,7 @@
 /// that includes the suspended time shows that to the coordinator as soon as it resumes, before it
 /// receives any message.
 #[test]
-fn a_grantor_that_was_suspended_grants_nothing_of_parts_that_went_back() {
+fn suspended_coordinator_grants_no_tokens_from_expired_leases() {
     const SUSPENDED_MS: u64 = 3_000;
     let customer = hash::of_name("mill");
     let bound = bound(20.0, 40.0);
@@ -78,9 +78,7 @@
         stamp: None,
     };
     let now = Moment(1_000);
-    let reply = coordinator
-        .on_offer(&offer, now)
-        .expect("a group that there is");
+    let reply = coordinator.on_offer(&offer, now).expect("a known group");
     offer.stamp = Some(reply.stamp);
     offer.number = 2;
     assert!(coordinator.on_offer(&offer, now).expect("the same").uses);
@@ -98,7 +96,7 @@
 /// Two coordinators deny and the third is not asked: the refusal reports the earlier of the two times
 /// at which a token is available.
 #[test]
-fn who_was_denied_is_told_when_there_is_room() {
+fn refusal_reports_when_a_token_is_available() {
     let bound = bound(50.0, 50.0);
     let mut member = LimitMember::with_name("entry-1", 1);
     member.round(1_000, [None; GROUPS], Moment(0));
@@ -122,7 +120,7 @@
 }
 
 #[test]
-fn refusals_are_counted_by_customer_in_a_bounded_number_of_lines() {
+fn refusal_metrics_have_a_bounded_number_of_lines() {
     let mut metrics = EntryMetrics::default();
     metrics.on_over_limit("mill \"two\"");
     for number in 0..1_000 {
@@ -134,31 +132,31 @@
         .filter(|line| line.contains("over_limit"))
         .collect();
     assert!(lines.len() <= 101, "{}", lines.len());
-    let odd = r#"ledgespool_over_limit_total{customer="mill \"two\""} 1"#;
-    assert!(lines.contains(&odd), "{lines:?}");
+    let quoted = r#"ledgespool_over_limit_total{customer="mill \"two\""} 1"#;
+    assert!(lines.contains(&quoted), "{lines:?}");
     let others = r#"ledgespool_over_limit_total{customer="(others)"} 901"#;
     assert!(lines.contains(&others), "{lines:?}");
 }
 
 #[test]
-fn a_host_lets_its_part_through_and_gets_room_with_time() {
+fn fixed_share_admits_its_tokens_and_refills() {
     let bound = bound(50.0, 50.0);
-    let share = HostShare {
+    let host_set = HostSet {
         hosts: 2,
         own_hash: 1,
         other_hashes: &[2],
     };
-    let mut parts = FixedParts::default();
-    let mut admit = |now: u64| parts.admit("mill", &bound, &share, Moment(now));
+    let mut shares = FixedShares::default();
+    let mut admit = |now: u64| shares.admit("mill", &bound, &host_set, Moment(now));
     let admitted = (0..1_000).filter(|_| admit(0) == FixedVerdict::Admitted);
     let admitted = admitted.count();
     assert!(admitted > 5, "{admitted}");
     let FixedVerdict::Refused { available_in_ms } = admit(0) else {
-        panic!("its part is used up");
+        panic!("the share has no token left");
     };
     assert!(
         available_in_ms <= 40,
-        "25 a second are its own: {available_in_ms}"
+        "the share is 25 a second: {available_in_ms}"
     );
     assert_eq!(admit(available_in_ms + 1), FixedVerdict::Admitted);
 }
@@ -169,7 +167,7 @@
     /// The tokens that accrue in a window, plus the bucket capacity and two starts of each host,
     /// stay within the bound.
     #[test]
-    fn the_pace_of_a_limit_fits_into_its_bound(
+    fn bucket_config_stays_within_the_bound(
         per_s in 0.01_f64..1_000.0,
         burst in 0.0_f64..2_000.0,
         excess in 0.0_f64..0.5,
@@ -179,11 +177,11 @@
             limit: RateLimit { per_s, burst },
             tolerance: LimitTolerance { window_s: 5.0, excess, slack },
         };
-        let pace = bound.pace();
+        let config = bound.bucket_config();
         // The token lifetime in addition to the window, and a quarter of the capacity for each
         // start.
-        let most = pace.per_s * 5.25 + pace.most * 1.5;
-        prop_assert!(most <= bound.allowed() * (1.0 + 1e-9), "{most} of {}", bound.allowed());
-        prop_assert!(pace.per_s > 0.0 && pace.most > 0.0);
+        let max_admitted = config.per_s * 5.25 + config.capacity * 1.5;
+        prop_assert!(max_admitted <= bound.allowed() * (1.0 + 1e-9), "{max_admitted} of {}", bound.allowed());
+        prop_assert!(config.per_s > 0.0 && config.capacity > 0.0);
     }
 }
--- a/tests/entry_server_limits.rs
+++ b/tests/entry_server_limits.rs
@@ -8,7 +8,7 @@
 use ledgespool::entry::server_limit::message::LimitUpdate;
 use ledgespool::entry::server_limit::rate::{AdvertisedLimit, RequestRate};
 use ledgespool::entry::server_limit::table::{LimitChange, ServerLimitTable};
-use ledgespool::entry::server_limit::{ENDED_RETENTION_MS, LONGEST_WAIT_MS, UPDATES_PER_HEARTBEAT};
+use ledgespool::entry::server_limit::{ENDED_RETENTION_MS, MAX_WAIT_MS, UPDATES_PER_HEARTBEAT};
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
@@ -25,7 +25,7 @@
 }
 
 /// A table that learned the limit `text` from an answer at time 0.
-fn told(text: &str) -> ServerLimitTable {
+fn table_with_limit(text: &str) -> ServerLimitTable {
     let mut table = ServerLimitTable::default();
     let change = table.on_answer(SERVER, advertised(text), None, true, Moment(0));
     assert_eq!(change, LimitChange::Began(rate(text)));
@@ -33,11 +33,11 @@
 }
 
 /// The maximum number of requests in a window: 1.5 times the advertised rate, and 5 more.
-fn allowed(per_s: f64) -> usize {
+fn max_requests(per_s: f64) -> usize {
     (1.5 * per_s * 4.0 + 5.0).floor() as usize
 }
 
-fn fullest(granted: &[u64]) -> usize {
+fn fullest_window(granted: &[u64]) -> usize {
     let counts = granted
         .iter()
         .enumerate()
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn what_is_no_rate_is_no_limit() {
+fn invalid_rates_are_not_limits() {
     for text in ["NaN", "-1", "inf", "", "1,8", "many", "-0.1"] {
         assert_eq!(RequestRate::from_text(text), None, "{text}");
     }
     for (text, per_s) in [("0", 0.0), ("1.8", 1.8), ("1e9", 1e9), (" 3 ", 3.0)] {
         assert!((rate(text).per_s() - per_s).abs() < 1e-9, "{text}");
     }
-    let mut table = told("2");
+    let mut table = table_with_limit("2");
     let change = table.on_answer(SERVER, AdvertisedLimit::Unreadable, None, true, Moment(1));
     assert_eq!(change, LimitChange::None);
     assert_eq!(table.rate_of(SERVER), Some(rate("2")));
@@ -62,11 +62,11 @@
 /// An answer that left the server before it advertised a limit may arrive after one that advertises
 /// it.
 #[test]
-fn only_an_answer_to_a_request_sent_within_the_limit_ends_it() {
+fn only_an_answer_to_a_request_sent_in_the_limit_period_ends_the_limit() {
     let mut table = ServerLimitTable::default();
     let before = table.period_of(SERVER);
     table.on_answer(SERVER, advertised("1"), before, true, Moment(0));
-    let within = table.period_of(SERVER);
+    let period = table.period_of(SERVER);
     let mut answer = |sent_in, is_proven| {
         table.on_answer(
             SERVER,
@@ -77,16 +77,16 @@
         )
     };
     assert_eq!(answer(before, true), LimitChange::None);
-    assert_eq!(answer(within, false), LimitChange::None);
-    assert_eq!(answer(within, true), LimitChange::Ended);
+    assert_eq!(answer(period, false), LimitChange::None);
+    assert_eq!(answer(period, true), LimitChange::Ended);
     // The next limit is another period: the same answer, repeated or late, does not end it.
     table.on_answer(SERVER, advertised("1"), None, true, Moment(2));
-    let change = table.on_answer(SERVER, AdvertisedLimit::Absent, within, true, Moment(3));
+    let change = table.on_answer(SERVER, AdvertisedLimit::Absent, period, true, Moment(3));
     assert_eq!(change, LimitChange::None);
 }
 
 #[test]
-fn hosts_that_hear_the_same_words_in_any_order_believe_the_same() {
+fn updates_in_any_order_lead_to_the_same_state() {
     let update = |version, rate| LimitUpdate {
         server: SERVER,
         version,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn news_is_handed_out_once_and_heartbeats_tell_all_in_turn() {
+fn unsent_updates_are_returned_once_and_heartbeats_cover_all() {
     let mut table = ServerLimitTable::default();
     let servers = 3 * UPDATES_PER_HEARTBEAT as u64 + 1;
     for server in 0..servers {
@@ -128,13 +128,13 @@
 }
 
 #[test]
-fn a_limit_that_is_over_is_forgotten_once_all_have_heard_it() {
-    let mut table = told("2");
-    let within = table.period_of(SERVER);
-    table.on_answer(SERVER, AdvertisedLimit::Absent, within, true, Moment(10));
+fn ended_limit_is_removed_after_the_retention_time() {
+    let mut table = table_with_limit("2");
+    let period = table.period_of(SERVER);
+    table.on_answer(SERVER, AdvertisedLimit::Absent, period, true, Moment(10));
     table.on_tick(|_| true, Moment(10 + ENDED_RETENTION_MS));
     let over = table.next_heartbeat_updates();
-    assert_eq!(over.len(), 1, "it is told on");
+    assert_eq!(over.len(), 1, "the end is still advertised");
     table.on_tick(|_| true, Moment(11 + ENDED_RETENTION_MS));
     assert_eq!(table.next_heartbeat_updates(), Vec::new());
     // A host that still sends the update does not bring the limit back.
@@ -145,8 +145,8 @@
 /// Two hosts that both take themselves for the limit owner for a moment must grant little more than
 /// one would.
 #[test]
-fn a_host_that_has_just_become_the_keeper_holds_no_rights() {
-    let mut table = told("2");
+fn new_limit_owner_has_no_tokens() {
+    let mut table = table_with_limit("2");
     assert_ne!(table.grant(SERVER, Moment(60_000)), TokenVerdict::Granted);
     assert_eq!(table.grant(SERVER, Moment(60_500)), TokenVerdict::Granted);
     table.on_other_owner(SERVER);
@@ -154,8 +154,8 @@
 }
 
 #[test]
-fn a_server_that_takes_nothing_gets_a_request_now_and_then() {
-    let mut table = told("0");
+fn server_with_limit_zero_gets_the_minimum_rate() {
+    let mut table = table_with_limit("0");
     let asked = (0..400).map(|step| step * 100);
     let granted = asked.filter(|at| table.grant(SERVER, Moment(*at)) == TokenVerdict::Granted);
     let granted: Vec<u64> = granted.collect();
@@ -164,8 +164,8 @@
 
 /// Hundreds of hosts that each want one token a second must not all ask for every token.
 #[test]
-fn those_that_are_denied_come_back_one_after_the_other() {
-    let mut table = told("4");
+fn denials_report_times_one_token_apart() {
+    let mut table = table_with_limit("4");
     let mut waits = Vec::new();
     for _ in 0..100 {
         if let TokenVerdict::Denied { available_in_ms } = table.grant(SERVER, Moment(0)) {
@@ -173,7 +173,7 @@
         }
     }
     assert_eq!(waits[..4], [250, 500, 750, 1_000]);
-    assert_eq!(u64::from(waits[99]), LONGEST_WAIT_MS);
+    assert_eq!(u64::from(waits[99]), MAX_WAIT_MS);
 }
 
 proptest! {
@@ -182,12 +182,12 @@
     /// No window exceeds the bound, however often hosts ask and however the limit changes below its
     /// maximum.
     #[test]
-    fn a_keeper_never_gives_out_more_than_the_server_may_get(
+    fn limit_owner_never_exceeds_the_bound(
         limits in prop::collection::vec(0_u32..200, 1..6),
         gaps in prop::collection::vec(0_u64..400, 1..600),
     ) {
         let highest = f64::from(*limits.iter().max().expect("one")) / 10.0;
-        let mut table = told("0");
+        let mut table = table_with_limit("0");
         let mut granted = Vec::new();
         let mut now = 0;
         for (step, gap) in gaps.iter().enumerate() {
@@ -199,6 +199,6 @@
                 granted.push(now);
             }
         }
-        prop_assert!(fullest(&granted) <= allowed(highest));
+        prop_assert!(fullest_window(&granted) <= max_requests(highest));
     }
 }
--- a/tests/limit_experiment.rs
+++ b/tests/limit_experiment.rs
@@ -6,7 +6,7 @@
 use ledgespool::entry::limits::LimitTolerance;
 use ledgespool::limit_experiment::report::LimitReport;
 use ledgespool::limit_experiment::scenario::{LimitFault, LimitFaultKind, LimitScenario};
-use ledgespool::limit_experiment::ways::{CountsWay, FixedWay, PooledWay};
+use ledgespool::limit_experiment::strategies::{CountsStrategy, FixedStrategy, PooledStrategy};
 use ledgespool::limit_experiment::world;
 use proptest::prelude::*;
 
@@ -54,9 +54,11 @@
 
 /// Number of cases of the property test; `PROPTEST_CASES` overrides it for long manual runs.
 fn cases() -> u32 {
-    const USUAL: u32 = 64;
-    let told = std::env::var("PROPTEST_CASES").ok();
-    told.and_then(|told| told.parse().ok()).unwrap_or(USUAL)
+    const DEFAULT_CASES: u32 = 64;
+    let value = std::env::var("PROPTEST_CASES").ok();
+    value
+        .and_then(|value| value.parse().ok())
+        .unwrap_or(DEFAULT_CASES)
 }
 
 proptest! {
@@ -67,7 +69,7 @@
 
     /// No window exceeds the bound, whatever is partitioned, killed, delayed or lost.
     #[test]
-    fn rights_that_move_stay_within_the_bound(
+    fn pooled_tokens_stay_within_the_bound(
         hosts in 1_u32..40,
         customers in 1_u32..12,
         loss in 0.0_f64..0.3,
@@ -76,24 +78,24 @@
     ) {
         let mut scenario = scenario(hosts, customers, faults);
         scenario.loss = loss;
-        let report = world::play::<PooledWay>(&scenario, seed);
+        let report = world::simulate::<PooledStrategy>(&scenario, seed);
         prop_assert!(report.fullest <= 1.0, "{report:?}");
     }
 }
 
-fn play_all(scenario: &LimitScenario) -> [LimitReport; 3] {
+fn simulate_all(scenario: &LimitScenario) -> [LimitReport; 3] {
     [
-        world::play::<FixedWay>(scenario, 7),
-        world::play::<CountsWay>(scenario, 7),
-        world::play::<PooledWay>(scenario, 7),
+        world::simulate::<FixedStrategy>(scenario, 7),
+        world::simulate::<CountsStrategy>(scenario, 7),
+        world::simulate::<PooledStrategy>(scenario, 7),
     ]
 }
 
 /// Each customer reaches a host only every few seconds, so its fixed shares are too small for
 /// single requests.
 #[test]
-fn many_hosts_and_small_customers_are_refused_by_fixed_parts_and_served_by_pools() {
-    let [fixed, _counts, pooled] = play_all(&scenario(67, 76, Vec::new()));
+fn small_customers_are_refused_by_fixed_shares_and_served_by_pools() {
+    let [fixed, _counts, pooled] = simulate_all(&scenario(67, 76, Vec::new()));
     assert!(fixed.refused_below > 0.1, "{}", fixed.refused_below);
     assert!(
         pooled.refused_below < 0.01,
@@ -105,7 +107,7 @@
 
 /// One customer sends 30 times its usual load while the hosts are split into two partitions.
 #[test]
-fn a_pressing_customer_breaks_the_bound_where_counts_are_told_and_not_where_rights_move() {
+fn overloading_customer_exceeds_the_bound_with_counts_and_not_with_pooled_tokens() {
     let press = LimitFaultKind::Press {
         customer: 0,
         factor: 30.0,
@@ -114,7 +116,7 @@
         fault(4_000, 8_000, press),
         fault(6_000, 5_000, LimitFaultKind::Cut { parts: 2 }),
     ];
-    let [_fixed, counts, pooled] = play_all(&scenario(67, 20, faults));
+    let [_fixed, counts, pooled] = simulate_all(&scenario(67, 20, faults));
     assert!(counts.fullest > 1.0, "{}", counts.fullest);
     assert!(pooled.fullest <= 1.0, "{}", pooled.fullest);
 }
