--- a/src/limit_experiment/scenario.rs
+++ b/src/limit_experiment/scenario.rs
@@ -175,7 +175,7 @@
             factor: reader.optional_number("factor", 0.0..=1.0).unwrap_or(0.25),
         },
         other => {
-            let message = format!("{other:?} is none of press, kill, cut, gather and lower");
+            let message = format!("unknown fault kind {other:?}, expected press, kill, cut, gather or lower");
             reader.fault(ResultCode::ValueOutOfRange, message);
             LimitFaultKind::Cut { parts: 1 }
         }
--- a/tests/entry_grantors.rs
+++ b/tests/entry_coordinators.rs
@@ -26,38 +26,38 @@
         .collect()
 }
 
-fn grantors(peers: &PeerTable, own: Option<&HostRecord>, now: Moment) -> Vec<Option<String>> {
-    let grantor = |group| peers.grantor_of("one", group, own, |_| false, now);
-    let found = (0..GROUPS as u64).map(grantor);
+fn coordinators(peers: &PeerTable, own: Option<&HostRecord>, now: Moment) -> Vec<Option<String>> {
+    let coordinator = |group| peers.grantor_of("one", group, own, |_| false, now);
+    let found = (0..GROUPS as u64).map(coordinator);
     found.map(|place| place.map(|place| place.name)).collect()
 }
 
 #[test]
-fn all_hosts_name_the_same_grantor_and_large_ones_come_first() {
+fn all_hosts_select_the_same_coordinator_and_prefer_large_ones() {
     let mut all = hosts("one", 20, 100);
     all.extend(hosts("one", 4, 500));
     all.extend(hosts("two", 4, 500));
-    let named: BTreeSet<Vec<Option<String>>> = all[..24]
+    let selected: BTreeSet<Vec<Option<String>>> = all[..24]
         .iter()
         .map(|own| {
             let others: Vec<HostRecord> =
                 all.iter().filter(|other| *other != own).cloned().collect();
-            grantors(&table(&others), Some(own), Moment(0))
+            coordinators(&table(&others), Some(own), Moment(0))
         })
         .collect();
-    assert_eq!(named.len(), 1, "{named:?}");
-    for name in named.into_iter().flatten() {
+    assert_eq!(selected.len(), 1, "{selected:?}");
+    for name in selected.into_iter().flatten() {
         assert!(name.is_some_and(|name| name.starts_with("one-500-")));
     }
 }
 
 #[test]
-fn a_host_that_is_silent_is_no_grantor_and_one_passed_over_neither() {
+fn silent_and_skipped_hosts_are_not_coordinators() {
     let all = hosts("one", 4, 500);
     let peers = table(&all);
     let silent_ms = SILENT_MS.max(INDIRECT_SILENT_MS);
-    assert!(grantors(&peers, None, Moment(silent_ms + 1))[0].is_none());
-    let first = grantors(&peers, None, Moment(0))[0].clone();
+    assert!(coordinators(&peers, None, Moment(silent_ms + 1))[0].is_none());
+    let first = coordinators(&peers, None, Moment(0))[0].clone();
     let next = peers.grantor_of(
         "one",
         0,
@@ -69,47 +69,47 @@
 }
 
 #[test]
-fn a_host_that_is_about_to_stop_is_no_grantor() {
+fn leaving_host_is_not_a_coordinator() {
     let all = hosts("one", 1, 500);
     let mut peers = table(&all);
-    assert!(grantors(&peers, None, Moment(0))[0].is_some());
+    assert!(coordinators(&peers, None, Moment(0))[0].is_some());
     let leaving = PeerHeartbeat {
         leaving: true,
         ..peer_records::heartbeat(&all[0], WatchState::Idle)
     };
     peers.on_heartbeat(&leaving, Moment(0));
-    assert!(grantors(&peers, None, Moment(0))[0].is_none());
+    assert!(coordinators(&peers, None, Moment(0))[0].is_none());
 }
 
 #[test]
-fn a_starting_host_counts_many_until_all_regions_were_told() {
+fn starting_host_assumes_many_hosts_until_all_region_sizes_are_reported() {
     let mut peers = table(&hosts("one", 3, 100));
     let regions = || ["one", "two"].into_iter();
-    let many = peers.limit_hosts("one", regions());
-    assert!(many >= 470, "{many}");
-    let told = |region: &str, count: u32| HostRecord {
+    let assumed = peers.limit_hosts("one", regions());
+    assert!(assumed >= 470, "{assumed}");
+    let reported = |region: &str, count: u32| HostRecord {
         region_hosts: count,
         ..peer_records::record(&format!("{region}-told"), "east", region, 100)
     };
-    peers.on_record(&told("one", 22), Moment(0));
+    peers.on_record(&reported("one", 22), Moment(0));
     assert!(peers.limit_hosts("one", regions()) >= 470, "one is missing");
-    peers.on_record(&told("two", 21), Moment(0));
+    peers.on_record(&reported("two", 21), Moment(0));
     assert_eq!(peers.limit_hosts("one", regions()), 43);
 }
 
 #[test]
-fn a_told_size_is_passed_on_while_starting_and_not_for_ever() {
+fn reported_size_is_forwarded_only_while_starting() {
     let mut peers = table(&hosts("one", 3, 100));
     assert_eq!(
         peers.told_region_size("one"),
         0,
-        "few were met, and none told"
+        "few are known, and none reported"
     );
-    let told = HostRecord {
+    let reported = HostRecord {
         region_hosts: 22,
         ..peer_records::record("one-told", "east", "one", 100)
     };
-    peers.on_record(&told, Moment(0));
+    peers.on_record(&reported, Moment(0));
     assert_eq!(peers.told_region_size("one"), 22);
     peers.on_listed();
     assert_eq!(
