--- a/src/entry/limit_role/messages.rs
+++ b/src/entry/limit_role/messages.rs
@@ -74,7 +74,7 @@
 
 /// Answers a token request, or forwards it to the coordinator of this region: hosts of other
 /// regions know little about which hosts are alive here. Without forwarding, 471 of 587 limit
-/// refusals within 16 s without faults had asked a host that pooled nothing (67 hosts, 2,000
+/// refusals within 16 s of normal operation had asked a host that pooled nothing (67 hosts, 2,000
 /// requests a second).
 fn on_request<W: WireProtocol>(
     host: &EntryHost<W>,
--- a/src/entry/limits/coordinator.rs
+++ b/src/entry/limits/coordinator.rs
@@ -2,8 +2,8 @@
 //!
 //! Serves customers whose requests are spread over many hosts: with 67 hosts and 30 requests a
 //! second at each, a customer of 4 requests a second reaches any one host only every 17 s. Fixed
-//! shares then refuse requests far below the limit: 17.8 % of all requests without any fault,
-//! against 1.3 % with pools.
+//! shares then refuse requests far below the limit: 17.8 % of all requests in normal
+//! operation, against 1.3 % with pools.
 
 use super::bucket::BucketConfig;
 use super::message::{CoordinatorStamp, LeaseOffer, LeaseReply, TokenVerdict};
--- a/src/entry/limits/member.rs
+++ b/src/entry/limits/member.rs
@@ -73,8 +73,8 @@
     silent_until: rustc_hash::FxHashMap<String, Moment>,
     /// Coordinators that left a request unanswered are not asked until then; by hashes of their
     /// names. Shares stay leased to them: when hosts switched to another coordinator, that one
-    /// pooled nothing, which was behind 1,087 of 1,220 limit refusals within 12 s without faults
-    /// (67 hosts, 2,000 requests a second).
+    /// pooled nothing, which was behind 1,087 of 1,220 limit refusals within 12 s of normal
+    /// operation (67 hosts, 2,000 requests a second).
     unanswered_until: rustc_hash::FxHashMap<u64, Moment>,
     /// Until when a coordinator has no token for a customer, by its own answer; by hashes of both
     /// names.
--- a/src/limit_experiment/faults.rs
+++ b/src/limit_experiment/faults.rs
@@ -8,7 +8,7 @@
 
 /// Minimum downtime of a killed host, in milliseconds: it restarts within the lease of its previous
 /// run.
-const MIN_DOWNTIME_MS: u64 = 200;
+const MIN_DOWN_MS: u64 = 200;
 
 impl<W: LimitStrategy> LimitWorld<'_, W> {
     pub(super) fn on_begin(&mut self, fault: LimitFault) {
@@ -17,9 +17,7 @@
                 let number = customer as usize % self.customers.len();
                 self.customers[number].load_factor = factor;
             }
-            LimitFaultKind::Kill { share } => {
-                self.kill(share, fault.duration_ms.max(MIN_DOWNTIME_MS))
-            }
+            LimitFaultKind::Kill { share } => self.kill(share, fault.duration_ms.max(MIN_DOWN_MS)),
             LimitFaultKind::Cut { parts } => {
                 let parts = parts.max(1);
                 for partition in &mut self.partition_of {
--- a/src/limit_experiment/scenario.rs
+++ b/src/limit_experiment/scenario.rs
@@ -175,7 +175,8 @@
             factor: reader.optional_number("factor", 0.0..=1.0).unwrap_or(0.25),
         },
         other => {
-            let message = format!("unknown fault kind {other:?}, expected press, kill, cut, gather or lower");
+            let message =
+                format!("unknown fault kind {other:?}, expected press, kill, cut, gather or lower");
             reader.fault(ResultCode::ValueOutOfRange, message);
             LimitFaultKind::Cut { parts: 1 }
         }
