--- a/src/entry/quarantine/message.rs
+++ b/src/entry/quarantine/message.rs
@@ -1,53 +1,54 @@
-//! What hosts tell each other of requests under which servers ended.
+//! Messages between hosts about requests that may have crashed servers.
 
 use crate::entry::fingerprint::RequestFingerprint;
 
-/// One datagram about suspects.
+/// A datagram about suspect requests.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum QuarantineMessage {
-    /// A server ended under these requests; told to the hosts that count.
+    /// A server crashed while it processed these requests. Sent to the suspect trackers.
     Ended(ServerEnd),
-    /// What is known of suspects; told to all hosts.
+    /// What the sender knows about suspects. Sent to all hosts.
     Records(Vec<SuspectRecord>),
 }
 
-/// The end of one server, with the requests that it had in hand.
+/// The crash of one server and the requests that were in flight on it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ServerEnd {
-    /// A hash of the server's identity.
+    /// Hash of the server's identity.
     pub server: u64,
-    /// The requests.
+    /// The requests in flight when the server crashed.
     pub requests: Vec<RequestFingerprint>,
 }
 
-/// What is known of one suspect.
+/// What a host knows about one suspect.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct SuspectRecord {
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: RequestFingerprint,
-    /// Hashes of the servers that ended under it, in their order; no more than are needed to bar it, and
-    /// none once it is cleared.
+    /// Hashes of the servers that crashed while processing it, sorted. Holds no more than are
+    /// needed to block the request, and none once it is cleared.
     pub ended: Vec<u64>,
-    /// Whether a server has answered it with success.
+    /// Whether a server has answered it successfully.
     pub cleared: bool,
-    /// How often it was tried since it was barred.
+    /// Number of probes sent since it was blocked.
     pub trials: u32,
-    /// How long ago something was last heard of it, in seconds.
+    /// Time since the last observation of the request, in seconds.
     pub age_s: u32,
 }
 
-/// All records of a host in a few bytes: hosts of the same digest know the same.
+/// A summary of all records of a host. Hosts with equal digests have the same records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct QuarantineDigest {
-    /// Records.
+    /// Number of records.
     pub count: u32,
-    /// A hash that does not depend on their order.
+    /// Hash of all records, independent of their order.
     pub hash: u64,
 }
 
 impl QuarantineDigest {
-    /// Whether a host of this digest may lack something that one of `other` knows. Of two that know
-    /// different things the one with fewer records asks, and both when they have as many.
+    /// Returns whether a host with this digest may miss records that a host with digest `other`
+    /// has. Of two hosts with different digests the one with fewer records fetches the other's;
+    /// with equal counts both do.
     ///
     /// ```
     /// use ledgespool::entry::quarantine::message::QuarantineDigest;
--- a/src/entry/quarantine/mod.rs
+++ b/src/entry/quarantine/mod.rs
@@ -1,58 +1,66 @@
-//! Requests that are kept from servers because servers ended under them: decisions only, driven by messages
-//! and time.
+//! Blocks requests that crash the servers that process them. This module only decides; messages and
+//! the clock are its inputs.
 //!
-//! **Load pattern.** One request ends the process of each server that begins to run it, and its caller sends it
-//! again and again, with a new identity, to any host. Each end takes the requests that the server had in hand
-//! with it, so a few repeats a second take a whole service down.
+//! **Load pattern.** One request crashes every server that starts to process it, and its caller
+//! repeats it with a new request id to any host. Each crash also loses the other requests in flight
+//! on that server, so a few repeats per second take a whole service down.
 //!
-//! A request is known by its [fingerprint](super::fingerprint). When the connection to a server breaks under
-//! requests and the server refuses the next connection, it has ended, and each of those requests is a suspect:
-//! one did it, the others were beside it. A first end is told to [`KEEPERS`] hosts that the fingerprint names, so
-//! that the ends of a whole hall cost a few datagrams for each request and not one for each host. From the
-//! second server on all hosts know a suspect, and from the third on ([`SERVERS_TO_BAR`]) none sends it. A
-//! success clears it everywhere: what one server can run did not end the others.
+//! A request is identified by its [fingerprint](super::fingerprint). When the connection to a
+//! server breaks while requests are in flight and the server refuses the next connection, the
+//! server has crashed. Each of those requests becomes a suspect: one caused the crash, the others
+//! are bystanders. The first crash is sent to [`KEEPERS`] suspect trackers, hosts chosen by the
+//! fingerprint, so that the crash of a whole hall costs a few datagrams per request instead of one
+//! per host. From the second crashed server on ([`SERVERS_TO_TELL`]) all hosts know the suspect,
+//! and from the third on ([`SERVERS_TO_BAR`]) no host sends it. A success clears it on all hosts: a
+//! request that one server can process did not crash the others.
 //!
-//! A request that was barred though it did nothing, because a hall lost power under it, must not stay so: after
-//! [`FIRST_TRIAL_MS`], and then ever more seldom, one host sends it to one server, and a success clears it. One that
-//! only stood beside others is asked for often and has its first trial after [`SWIFT_TRIAL_MS`].
+//! A harmless request can be blocked too, for example when a hall loses power while processing it.
+//! After [`FIRST_TRIAL_MS`], and then at growing intervals, one host probes a single server with
+//! the request, and a success clears it. A likely bystander, which shares a crashed server with
+//! another blocked request, is requested often and gets its first probe after [`SWIFT_TRIAL_MS`].
 //!
-//! Records merge in any order and however often they come ([`table::QuarantineTable`]), and heartbeats carry a
-//! digest of them, so a host that was cut off, suspended or started later finds out what it lacks. What is
-//! barred is written to the store as well: it outlives the loss of all hosts.
+//! Merging records is commutative and idempotent ([`table::QuarantineTable`]), and heartbeats carry
+//! a digest of them, so a host that was partitioned, suspended or started later detects what it is
+//! missing. Blocked requests are also written to the store, so they survive the loss of all hosts.
 
 pub mod message;
 pub mod stored;
 pub mod table;
 
-/// Servers that end under a request before it is kept from all others. Two may end beside a request that has
-/// nothing to do with it, one after the other; a third after these, with no success between, hardly ever does.
+/// Number of servers that crash while processing a request before it is blocked. Two may crash one
+/// after the other with an unrelated request in flight; a third, with no success in between, almost
+/// never does.
 pub const SERVERS_TO_BAR: usize = 3;
-/// Servers from which on all hosts know a suspect.
+/// Number of crashed servers from which on a suspect is announced to all hosts.
 pub const SERVERS_TO_TELL: usize = 2;
-/// Hosts that count the first ends under a request: two may be lost at once.
+/// Number of hosts that track the first crashes of a suspect. Two of them may fail at once.
 pub const KEEPERS: usize = 3;
-/// A suspect is forgotten when nothing was heard of it for this long, in milliseconds: callers that repeat a
-/// request for longer come back more seldom than a server takes to start.
+/// Time after its last observation at which a suspect expires, in milliseconds. A caller that
+/// repeats a request at longer intervals leaves a server enough time to restart.
 pub const SUSPECT_LIFE_MS: u64 = 3_600_000;
-/// A barred request is tried on one server after this time, in milliseconds: what ends a whole hall is over by
-/// then, and one that ends servers must not end more than a few beyond [`SERVERS_TO_BAR`].
+/// Delay before the first regular probe of a blocked request, in milliseconds. An outage of a whole
+/// hall is over by then, and a request that does crash servers must not crash more than a few
+/// beyond [`SERVERS_TO_BAR`].
 pub const FIRST_TRIAL_MS: u64 = 60_000;
-/// A barred request is tried once after this time already, in milliseconds, when a server of it also ended under another
-/// barred one: one of them did it, and the others were beside it.
+/// Minimum delay before the single early probe of a blocked request, in milliseconds. A request
+/// gets one when a server that crashed while processing it was also processing another blocked
+/// request: only one of them caused the crash.
 pub const SWIFT_TRIAL_MS: u64 = 3_000;
-/// Swift trials of several requests are spread over this time, in milliseconds, so that one does not take another's
-/// server with it.
+/// Period over which early probes of different requests are spread, in milliseconds, so that one of
+/// them does not crash the server that another is being probed on.
 pub const SWIFT_SPREAD_MS: u64 = 3_000;
-/// Each further trial comes this many times later than the one before: three within two hours.
+/// Factor by which the delay grows from one regular probe to the next. This allows three within two
+/// hours.
 pub const TRIAL_FACTOR: u64 = 10;
-/// For this long a success stands against late word of ends before it, in milliseconds: the word of a host that
-/// was suspended for some seconds is among it.
+/// Time for which a success overrides reports of crashes, in milliseconds. Reports of crashes
+/// before the success can arrive late, such as those of a host that was suspended for some seconds.
 pub const CLEARED_LIFE_MS: u64 = 30_000;
-/// Requests that one datagram names when a server ended under them; some 700 bytes.
+/// Maximum number of requests in one crash report datagram (about 700 bytes).
 pub const REQUESTS_PER_DATAGRAM: usize = 64;
-/// Suspects that one datagram tells all of; some 1,200 bytes.
+/// Maximum number of suspect records in one datagram (about 1,200 bytes).
 pub const RECORDS_PER_DATAGRAM: usize = 24;
-/// Suspects that a host remembers, the latest; some 200 KB.
+/// Maximum number of suspects that a host retains (about 200 KB); the most recent ones are kept.
 pub const MAX_SUSPECTS: usize = 2_048;
-/// When a barred request may come back, in milliseconds: sooner is of no use to its caller.
+/// Retry-after time sent to the caller of a blocked request, in milliseconds. An earlier retry
+/// would be refused as well.
 pub const COME_BACK_MS: u64 = 60_000;
--- a/src/entry/quarantine/stored.rs
+++ b/src/entry/quarantine/stored.rs
@@ -1,14 +1,15 @@
-//! A barred request as it stands in the store, for hosts that start when no other is left.
+//! The stored form of a blocked request, for hosts that start when no other host is running.
 
 use super::SUSPECT_LIFE_MS;
 use super::message::SuspectRecord;
 use crate::entry::fingerprint::RequestFingerprint;
 
-/// An entry in the store is out of date after this time, in milliseconds of the wall clock, which may be seconds
-/// wrong: many times as long as hosts themselves remember, since nobody writes it again.
-const STORED_LIFE_MS: u64 = 24 * SUSPECT_LIFE_MS;
+/// Age at which a store entry expires, in milliseconds of wall-clock time, which may be off by
+/// seconds. It is many times the lifetime in a host's memory because no host refreshes the entry.
+const STORED_TTL_MS: u64 = 24 * SUSPECT_LIFE_MS;
 
-/// A barred request. Hashes stand there as hexadecimal text, since a store may read numbers as floats.
+/// A blocked request. Hashes are written as hexadecimal text because a store may parse numbers as
+/// floats.
 ///
 /// ```
 /// use ledgespool::entry::fingerprint::RequestFingerprint;
@@ -25,16 +26,16 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StoredSuspect {
-    /// The request's fingerprint, which is also the name of the object.
+    /// The request's fingerprint, which is also the object's name.
     pub fingerprint: String,
-    /// Hashes of the servers that ended under it.
+    /// Hashes of the servers that crashed while processing it.
     pub ended: Vec<String>,
-    /// When it was barred, in Unix milliseconds.
+    /// When it was blocked, in Unix milliseconds.
     pub barred_unix_ms: u64,
 }
 
 impl StoredSuspect {
-    /// The entry of a record that was barred at `unix_ms`.
+    /// Creates the entry for a record that was blocked at `unix_ms`.
     #[must_use]
     pub fn from_record(record: &SuspectRecord, unix_ms: u64) -> Self {
         let ended = record.ended.iter();
@@ -45,18 +46,18 @@
         }
     }
 
-    /// Whether it counts no more.
+    /// Returns whether the entry has expired.
     #[must_use]
     pub const fn is_out_of_date(&self, unix_ms: u64) -> bool {
-        unix_ms.saturating_sub(self.barred_unix_ms) > STORED_LIFE_MS
+        unix_ms.saturating_sub(self.barred_unix_ms) > STORED_TTL_MS
     }
 
-    /// What a host that reads it knows; `None` when it is not in the form that hosts write.
+    /// Decodes the entry; `None` if a hash is not valid hexadecimal text.
     #[must_use]
     pub fn record(&self) -> Option<SuspectRecord> {
-        let ended = self.ended.iter().map(|server| number_from_text(server));
+        let ended = self.ended.iter().map(|server| parse_hash(server));
         Some(SuspectRecord {
-            fingerprint: RequestFingerprint(number_from_text(&self.fingerprint)?),
+            fingerprint: RequestFingerprint(parse_hash(&self.fingerprint)?),
             ended: ended.collect::<Option<_>>()?,
             cleared: false,
             trials: 0,
@@ -65,6 +66,6 @@
     }
 }
 
-fn number_from_text(text: &str) -> Option<u64> {
+fn parse_hash(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
--- a/src/entry/quarantine/table.rs
+++ b/src/entry/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! The suspects that a host knows.
+//! The suspects that a host knows: merging, expiry, probing and the digest.
 
 use super::message::{QuarantineDigest, SuspectRecord};
 use super::{
@@ -9,53 +9,53 @@
 use crate::entry::hash;
 use crate::timer::Moment;
 
-/// How a suspect stands.
+/// The state of a suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectState {
-    /// Too few servers ended for all hosts to know it.
+    /// Too few servers crashed; only its trackers know it.
     Counted,
-    /// All hosts know it, and it is still sent.
+    /// Announced to all hosts, and still sent to servers.
     Known,
-    /// It is sent to no server.
+    /// Not sent to any server, except for probes.
     Barred,
-    /// A server has answered it with success.
+    /// A server has answered it successfully.
     Cleared,
 }
 
-/// What a table does with word of a suspect.
+/// The result of applying an observation to the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspectChange {
-    /// It knew that.
+    /// Nothing changed.
     None,
-    /// It counts one more end, which not all hosts need to know yet.
+    /// A new crash is recorded, which only the suspect's trackers need to know.
     Counted,
-    /// All hosts must know the record.
+    /// The record must be announced to all hosts.
     Tell(SuspectRecord),
 }
 
-/// A trial of a barred request on a server.
+/// The kind of probe of a blocked request that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum DueTrial {
-    /// Once, soon after it was barred beside others.
-    Swift,
-    /// Ever more seldom.
+enum DueProbe {
+    /// A single one soon after blocking, for a likely bystander.
+    Early,
+    /// One of a series at growing intervals.
     Regular,
 }
 
-/// One suspect.
+/// A suspect as this host knows it.
 #[derive(Debug, Clone)]
 struct SuspectEntry {
-    /// Hashes of the servers that ended under it, in their order.
+    /// Hashes of the servers that crashed while processing it, sorted.
     ended: Vec<u64>,
     cleared: bool,
-    /// When something was last heard of it.
-    heard: Moment,
-    /// How often it was tried since it was barred, beside the swift trial.
+    /// Time of the last observation.
+    last_seen: Moment,
+    /// Number of regular probes since it was blocked.
     trials: u32,
-    /// Whether it had its swift trial here.
-    tried_swiftly: bool,
-    /// When it was barred here, or the last trial heard of.
-    waits_since: Moment,
+    /// Whether this host has sent its early probe.
+    early_probe_sent: bool,
+    /// When it was blocked on this host or last probed; the delay until the next probe starts here.
+    waiting_since: Moment,
 }
 
 impl SuspectEntry {
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Whether all hosts know it.
-    fn is_told(&self) -> bool {
+    /// Returns whether it is announced to all hosts.
+    fn is_announced(&self) -> bool {
         self.state() != SuspectState::Counted
     }
 
-    const fn life_ms(&self) -> u64 {
+    const fn ttl_ms(&self) -> u64 {
         if self.cleared {
             CLEARED_LIFE_MS
         } else {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Adds servers; returns whether there are more than before.
-    fn add(&mut self, servers: &[u64]) -> bool {
+    /// Adds crashed servers and returns whether any of them is new.
+    fn add_servers(&mut self, servers: &[u64]) -> bool {
         let before = self.ended.len();
         for server in servers {
             if let Err(place) = self.ended.binary_search(server) {
@@ -93,35 +93,36 @@
         self.ended.len() > before
     }
 
-    /// Which trial on a server is due, if one is; `stood_beside` says that a server of it ended under another one as well.
-    fn due_trial(
+    /// Returns the probe that is due, if any. `shares_crash` tells whether the request shares a
+    /// crashed server with another blocked request.
+    fn due_probe(
         &self,
         fingerprint: RequestFingerprint,
-        stood_beside: bool,
+        shares_crash: bool,
         now: Moment,
-    ) -> Option<DueTrial> {
+    ) -> Option<DueProbe> {
         if self.state() != SuspectState::Barred {
             return None;
         }
-        let waited_ms = now.since(self.waits_since);
+        let elapsed_ms = now.since(self.waiting_since);
         let wait_ms = FIRST_TRIAL_MS.saturating_mul(TRIAL_FACTOR.saturating_pow(self.trials));
-        if waited_ms >= wait_ms {
-            return Some(DueTrial::Regular);
+        if elapsed_ms >= wait_ms {
+            return Some(DueProbe::Regular);
         }
-        let swift_ms = SWIFT_TRIAL_MS + fingerprint.0 % SWIFT_SPREAD_MS;
-        let may_be_swift = stood_beside && self.trials == 0 && !self.tried_swiftly;
-        (may_be_swift && waited_ms >= swift_ms).then_some(DueTrial::Swift)
+        let early_ms = SWIFT_TRIAL_MS + fingerprint.0 % SWIFT_SPREAD_MS;
+        let may_probe_early = shares_crash && self.trials == 0 && !self.early_probe_sent;
+        (may_probe_early && elapsed_ms >= early_ms).then_some(DueProbe::Early)
     }
 
-    /// A server has answered it; which ones ended before does not matter any more.
+    /// Marks it as cleared and drops the crashed servers, which no longer matter.
     fn clear(&mut self, now: Moment) {
         self.cleared = true;
         self.ended.clear();
-        self.heard = now;
+        self.last_seen = now;
     }
 
     fn record(&self, fingerprint: RequestFingerprint, now: Moment) -> SuspectRecord {
-        let age_s = now.since(self.heard) / 1_000;
+        let age_s = now.since(self.last_seen) / 1_000;
         SuspectRecord {
             fingerprint,
             ended: self.ended.clone(),
@@ -131,8 +132,9 @@
         }
     }
 
-    /// Differs where hosts would have something to tell each other: below the bar also in the servers, of
-    /// which others may make up the number.
+    /// Returns a hash that differs where hosts have something to exchange. Before the request is
+    /// blocked it includes the crashed servers, since different ones on two hosts may add up to the
+    /// limit.
     fn hash(&self, fingerprint: RequestFingerprint) -> u64 {
         let state = self.state();
         let servers = match state {
@@ -149,7 +151,7 @@
     }
 }
 
-/// The suspects that a host knows.
+/// The suspects that a host knows, by fingerprint.
 ///
 /// ```
 /// use ledgespool::entry::fingerprint::RequestFingerprint;
@@ -168,30 +170,30 @@
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
     entries: rustc_hash::FxHashMap<RequestFingerprint, SuspectEntry>,
-    /// Entries that all hosts know, so that a host without any looks no request up.
-    told: usize,
+    /// Number of announced entries. A host without any skips the lookup of each request.
+    announced: usize,
 }
 
 impl QuarantineTable {
-    /// Whether there is any suspect that all hosts know.
+    /// Returns whether any suspect is announced to all hosts.
     #[must_use]
     pub const fn has_told(&self) -> bool {
-        self.told > 0
+        self.announced > 0
     }
 
-    /// How a request stands; `None` for one that is no suspect.
+    /// Returns the state of a request; `None` if it is not a suspect.
     #[must_use]
     pub fn state_of(&self, fingerprint: RequestFingerprint) -> Option<SuspectState> {
         self.entries.get(&fingerprint).map(SuspectEntry::state)
     }
 
-    /// Whether a request must be sent to no server.
+    /// Returns whether a request is blocked.
     #[must_use]
     pub fn is_barred(&self, fingerprint: RequestFingerprint) -> bool {
         self.state_of(fingerprint) == Some(SuspectState::Barred)
     }
 
-    /// Requests that are sent to no server.
+    /// Number of blocked requests.
     #[must_use]
     pub fn barred_count(&self) -> usize {
         let entries = self.entries.values();
@@ -200,7 +202,7 @@
             .count()
     }
 
-    /// A server ended under a request.
+    /// Records that a server crashed while processing a request.
     pub fn on_ended(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -217,15 +219,15 @@
         if !self.merge(&record, now) {
             return SuspectChange::None;
         }
-        self.change_of(fingerprint, now)
+        self.change_for(fingerprint, now)
     }
 
-    /// Another host, or the store, tells of a suspect; returns whether that is news.
+    /// Merges a record from another host or the store; returns whether it adds anything.
     pub fn on_told(&mut self, record: &SuspectRecord, now: Moment) -> bool {
         self.merge(record, now)
     }
 
-    /// A server has answered a request with success.
+    /// Records that a server has answered a request successfully.
     pub fn on_success(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
         match self.state_of(fingerprint) {
             None | Some(SuspectState::Cleared) => SuspectChange::None,
@@ -237,30 +239,32 @@
                 if let Some(entry) = self.entries.get_mut(&fingerprint) {
                     entry.clear(now);
                 }
-                self.change_of(fingerprint, now)
+                self.change_for(fingerprint, now)
             }
         }
     }
 
-    /// Takes the trial of a barred request, if one is due: it may be sent to one server, and others must know.
+    /// Returns the updated record if a probe of a blocked request is due. The caller may then send
+    /// the request to one server and must announce the record.
     pub fn try_barred(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
     ) -> Option<SuspectRecord> {
-        let stood_beside = self.stood_beside_others(fingerprint);
+        let shares_crash = self.shares_crash_with_others(fingerprint);
         let entry = self.entries.get_mut(&fingerprint)?;
-        match entry.due_trial(fingerprint, stood_beside, now)? {
-            DueTrial::Swift => entry.tried_swiftly = true,
-            DueTrial::Regular => entry.trials += 1,
+        match entry.due_probe(fingerprint, shares_crash, now)? {
+            DueProbe::Early => entry.early_probe_sent = true,
+            DueProbe::Regular => entry.trials += 1,
         }
-        entry.waits_since = now;
-        entry.heard = now;
+        entry.waiting_since = now;
+        entry.last_seen = now;
         Some(entry.record(fingerprint, now))
     }
 
-    /// Whether a server that ended under a request also ended under another one that is barred.
-    fn stood_beside_others(&self, fingerprint: RequestFingerprint) -> bool {
+    /// Returns whether a server that crashed while processing this request was also processing
+    /// another one that is now blocked.
+    fn shares_crash_with_others(&self, fingerprint: RequestFingerprint) -> bool {
         let Some(entry) = self.entries.get(&fingerprint) else {
             return false;
         };
@@ -277,48 +281,56 @@
         })
     }
 
-    /// A barred request came again: it is remembered for longer.
+    /// Extends the lifetime of a blocked request that was received again.
     pub fn on_refused(&mut self, fingerprint: RequestFingerprint, now: Moment) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
-            entry.heard = now;
+            entry.last_seen = now;
         }
     }
 
-    /// Forgets what nothing was heard of for long.
+    /// Removes expired entries.
     pub fn on_tick(&mut self, now: Moment) {
         self.entries
-            .retain(|_, entry| now.since(entry.heard) < entry.life_ms());
+            .retain(|_, entry| now.since(entry.last_seen) < entry.ttl_ms());
         self.count();
     }
 
-    /// All that other hosts must know as well.
+    /// Returns the records of all announced suspects.
     #[must_use]
     pub fn records(&self, now: Moment) -> Vec<SuspectRecord> {
-        let told = self.entries.iter().filter(|(_, entry)| entry.is_told());
-        told.map(|(fingerprint, entry)| entry.record(*fingerprint, now))
+        let announced = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_announced());
+        announced
+            .map(|(fingerprint, entry)| entry.record(*fingerprint, now))
             .collect()
     }
 
-    /// The same in a few bytes.
+    /// Returns the digest of all announced suspects.
     #[must_use]
     pub fn digest(&self) -> QuarantineDigest {
         if !self.has_told() {
             return QuarantineDigest::default();
         }
-        let told = self.entries.iter().filter(|(_, entry)| entry.is_told());
-        let hashes = told.map(|(fingerprint, entry)| entry.hash(*fingerprint));
+        let announced = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_announced());
+        let hashes = announced.map(|(fingerprint, entry)| entry.hash(*fingerprint));
         QuarantineDigest {
-            count: u32::try_from(self.told).unwrap_or(u32::MAX),
+            count: u32::try_from(self.announced).unwrap_or(u32::MAX),
             hash: hashes.fold(0, |all, hash| all ^ hash),
         }
     }
 
-    /// Joins what is told to what is known: the servers of both, a success of either, the later word. Any
-    /// order of the same records leads to the same.
+    /// Merges a record: the union of the crashed servers, a success on either side and the later
+    /// observation. The result does not depend on the order of the records. Returns whether the
+    /// record adds anything.
     fn merge(&mut self, record: &SuspectRecord, now: Moment) -> bool {
-        let heard = now.before(u64::from(record.age_s) * 1_000);
+        let last_seen = now.before(u64::from(record.age_s) * 1_000);
         let known = self.entries.get(&record.fingerprint);
-        // A success stands against the ends before it; word of them may be late.
+        // A success overrides earlier crashes, and reports of those may arrive late.
         if known.is_some_and(|known| known.cleared) {
             return false;
         }
@@ -329,46 +341,49 @@
             .or_insert(SuspectEntry {
                 ended: Vec::new(),
                 cleared: false,
-                heard,
+                last_seen,
                 trials: 0,
-                tried_swiftly: false,
-                waits_since: now,
+                early_probe_sent: false,
+                waiting_since: now,
             });
-        let adds_servers = entry.add(&record.ended);
+        let adds_servers = entry.add_servers(&record.ended);
         if adds_servers || record.trials > entry.trials {
-            entry.waits_since = now;
+            entry.waiting_since = now;
         }
         entry.trials = entry.trials.max(record.trials);
-        entry.heard = entry.heard.max(heard);
+        entry.last_seen = entry.last_seen.max(last_seen);
         if record.cleared {
-            entry.clear(heard);
+            entry.clear(last_seen);
         }
-        let is_old = now.since(entry.heard) >= entry.life_ms();
+        let is_old = now.since(entry.last_seen) >= entry.ttl_ms();
         if is_old {
             self.entries.remove(&record.fingerprint);
         }
         if is_new && !is_old {
-            self.make_room();
+            self.evict_oldest();
         }
         self.count();
         !is_old && (adds_servers || record.cleared)
     }
 
-    fn change_of(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
+    fn change_for(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
         match self.entries.get(&fingerprint) {
-            Some(entry) if entry.is_told() => SuspectChange::Tell(entry.record(fingerprint, now)),
+            Some(entry) if entry.is_announced() => {
+                SuspectChange::Tell(entry.record(fingerprint, now))
+            }
             Some(_) => SuspectChange::Counted,
             None => SuspectChange::None,
         }
     }
 
-    /// Beyond what is remembered the longest unheard goes, those that only this host counts first.
-    fn make_room(&mut self) {
+    /// Evicts the entry with the oldest observation if the table is over its limit, unannounced
+    /// ones first.
+    fn evict_oldest(&mut self) {
         if self.entries.len() <= MAX_SUSPECTS {
             return;
         }
         let entries = self.entries.iter();
-        let oldest = entries.min_by_key(|(_, entry)| (entry.is_told(), entry.heard));
+        let oldest = entries.min_by_key(|(_, entry)| (entry.is_announced(), entry.last_seen));
         if let Some((oldest, _)) = oldest {
             let oldest = *oldest;
             self.entries.remove(&oldest);
@@ -377,6 +392,6 @@
 
     fn count(&mut self) {
         let entries = self.entries.values();
-        self.told = entries.filter(|entry| entry.is_told()).count();
+        self.announced = entries.filter(|entry| entry.is_announced()).count();
     }
 }
