--- a/src/entry/fingerprint.rs
+++ b/src/entry/fingerprint.rs
@@ -1,28 +1,31 @@
-//! What makes two requests the same although each has an identity of its own: who asks, and for what.
+//! Identifies repeats of a request, which have a different request id each time, by who sends it
+//! and what it asks for.
 //!
-//! Who asks is the customer, where requests carry keys. The address of a connection is no part of it: the same
-//! caller comes from many, and one that ended 43 servers from changing addresses was not recognized by it.
+//! The sender is the customer, where requests carry keys. The peer address of the connection is not
+//! included: a caller may use many addresses, and one that crashed 43 servers from changing
+//! addresses was not recognized by them.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// What a request has in common with its repeats.
+/// The parts of a request that its repeats share.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// The name of the customer that holds its key, never the key; empty where none is needed.
+    /// The name of the customer that owns the request's key, never the key itself; empty where no
+    /// key is required.
     pub customer: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The name of the site, as the caller wrote it.
+    /// The host name of the site, in the caller's spelling.
     pub site: &'a [u8],
-    /// Path and query.
+    /// The path and query.
     pub path: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// A hash of all that a repeat has in common with the request that it repeats: the same on all hosts.
+/// A hash of the parts that a request shares with its repeats. All hosts compute the same value.
 ///
 /// ```
 /// use ledgespool::entry::fingerprint::{RequestContent, RequestFingerprint};
@@ -43,23 +46,24 @@
 pub struct RequestFingerprint(pub u64);
 
 impl RequestFingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Xxh3::new();
-        write_part(&mut hasher, content.customer.as_bytes());
-        write_part(&mut hasher, content.method.as_bytes());
-        write_part(&mut hasher, &content.site.to_ascii_lowercase());
-        write_part(&mut hasher, content.path.as_bytes());
-        write_part(&mut hasher, content.body);
+        hash_field(&mut hasher, content.customer.as_bytes());
+        hash_field(&mut hasher, content.method.as_bytes());
+        hash_field(&mut hasher, &content.site.to_ascii_lowercase());
+        hash_field(&mut hasher, content.path.as_bytes());
+        hash_field(&mut hasher, content.body);
         Self(hasher.digest())
     }
 }
 
-/// The length goes first, so that no two requests differ only in where one part ends.
-fn write_part(hasher: &mut Xxh3, part: &[u8]) {
-    hasher.update(&(part.len() as u64).to_le_bytes());
-    hasher.update(part);
+/// Hashes the length before the bytes, so that moving bytes from one field to the next changes the
+/// fingerprint.
+fn hash_field(hasher: &mut Xxh3, field: &[u8]) {
+    hasher.update(&(field.len() as u64).to_le_bytes());
+    hasher.update(field);
 }
 
 impl fmt::Display for RequestFingerprint {
--- a/tests/entry_fingerprint.rs
+++ b/tests/entry_fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same.
+//! Which requests have the same fingerprint.
 
 use ledgespool::entry::fingerprint::{RequestContent, RequestFingerprint};
 
@@ -11,14 +11,14 @@
 };
 
 #[test]
-fn the_same_request_has_the_same_fingerprint_and_any_other_another() {
-    let whole = RequestFingerprint::of(&CONTENT);
-    assert_eq!(whole, RequestFingerprint::of(&CONTENT));
+fn equal_requests_share_a_fingerprint_and_different_ones_do_not() {
+    let original = RequestFingerprint::of(&CONTENT);
+    assert_eq!(original, RequestFingerprint::of(&CONTENT));
     let upper = RequestContent {
         site: b"Desk.Example",
         ..CONTENT
     };
-    assert_eq!(whole, RequestFingerprint::of(&upper));
+    assert_eq!(original, RequestFingerprint::of(&upper));
     let others = [
         RequestContent {
             customer: "",
@@ -40,7 +40,7 @@
             body: b"lines",
             ..CONTENT
         },
-        // A part that ends where another begins.
+        // The same bytes, split differently between path and body.
         RequestContent {
             path: "/write/one?a=bl",
             body: b"ine",
@@ -48,6 +48,6 @@
         },
     ];
     for other in others {
-        assert_ne!(whole, RequestFingerprint::of(&other), "{other:?}");
+        assert_ne!(original, RequestFingerprint::of(&other), "{other:?}");
     }
 }
