--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -1,7 +1,8 @@
-//! This host's part in keeping requests from servers that would end under them: it joins the decisions of
-//! [`super::quarantine`] to sockets, clock and store.
+//! Runs the request quarantine on an entry host: connects the decisions of [`super::quarantine`] to
+//! sockets, clock and store.
 //!
-//! Here losses become suspects and suspects are told to others; [`store`] writes and reads what is barred.
+//! This module detects server crashes, records suspects and announces them to other hosts.
+//! [`store`] reads and writes blocked requests.
 
 mod store;
 
@@ -28,60 +29,65 @@
 use self::store::StoreTask;
 pub(super) use self::store::spawn;
 
-/// Who tells of suspects that were read in the store.
+/// The source, in events, of suspects that were read from the store.
 const STORE_SOURCE: &str = "store";
 
 /// Whether a request may be sent to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SuspectAdmission {
-    /// As any other.
+    /// The request is not blocked.
     Free,
-    /// To one server, which shows whether it ends that too.
+    /// The request is blocked, and this host probes one server with it.
     Trial,
-    /// To none.
+    /// The request is blocked and must not be sent.
     Barred,
 }
 
-/// What this host knows of requests under which servers ended.
+/// The quarantine state of this host.
 #[derive(Debug, Default)]
 pub struct QuarantineRole {
     table: cell::RefCell<QuarantineTable>,
-    /// Requests whose connections to a server broke, until it is known whether the server has ended.
+    /// Requests whose connection broke, by server, until the check whether that server has crashed
+    /// ends.
     broken: cell::RefCell<collections::HashMap<String, Vec<RequestFingerprint>>>,
-    /// Whether what the store holds is known, from there or from another host.
-    read: cell::Cell<bool>,
-    to_store: cell::RefCell<Vec<StoreTask>>,
+    /// Whether the stored suspects are known, from the store or from another host.
+    is_loaded: cell::Cell<bool>,
+    pending_store_tasks: cell::RefCell<Vec<StoreTask>>,
     has_store_task: Notify,
 }
 
 impl QuarantineRole {
-    /// What other hosts are told in each heartbeat.
+    /// The digest that is sent in each heartbeat.
     pub(super) fn digest(&self) -> QuarantineDigest {
         self.table.borrow().digest()
     }
 
-    /// All that other hosts must know.
+    /// The records of all suspects that every host must know.
     pub(super) fn records(&self, now: Moment) -> Vec<SuspectRecord> {
         self.table.borrow().records(now)
     }
 
-    /// The same for a host that starts; `None` while this one may lack what the store holds.
+    /// The records for a starting host; `None` while this host may be missing stored suspects.
     pub(super) fn told_records(&self, now: Moment) -> Option<Vec<SuspectRecord>> {
-        self.read.get().then(|| self.records(now))
+        self.is_loaded.get().then(|| self.records(now))
     }
 
-    /// What the store holds is known.
+    /// Marks the stored suspects as known.
     pub(super) fn on_read(&self) {
-        self.read.set(true);
+        self.is_loaded.set(true);
     }
 
-    /// Requests that are sent to no server.
+    /// Number of blocked requests.
     pub(super) fn barred_count(&self) -> usize {
         self.table.borrow().barred_count()
     }
 
-    /// All that is known of a request that is kept from servers.
-    fn barred_record(&self, fingerprint: RequestFingerprint, now: Moment) -> Option<SuspectRecord> {
+    /// The record of a request, if it is blocked.
+    fn blocked_record(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Moment,
+    ) -> Option<SuspectRecord> {
         if !self.table.borrow().is_barred(fingerprint) {
             return None;
         }
@@ -89,12 +95,13 @@
         records.find(|record| record.fingerprint == fingerprint)
     }
 
-    /// Forgets what is old.
+    /// Removes expired suspects.
     pub(super) fn on_tick(&self, now: Moment) {
         self.table.borrow_mut().on_tick(now);
     }
 
-    /// The connection of a request to a server broke; returns whether it is the first of that server.
+    /// Records that the connection to `server` broke with a request in flight. Returns whether no
+    /// other request of that server is recorded yet.
     fn on_broken(&self, server: &str, fingerprint: RequestFingerprint) -> bool {
         let mut broken = self.broken.borrow_mut();
         if let Some(requests) = broken.get_mut(server) {
@@ -114,26 +121,27 @@
         requests
     }
 
-    fn push_store_task(&self, task: StoreTask) {
-        self.to_store.borrow_mut().push(task);
+    fn queue_store_task(&self, task: StoreTask) {
+        self.pending_store_tasks.borrow_mut().push(task);
         self.has_store_task.notify_one();
     }
 }
 
-/// The connection to `server` broke under a request. One more is tried at once: a server that refuses it has
-/// ended, and one that takes it gets its next request over it.
+/// Handles a connection to `server` that broke with a request in flight. It reconnects immediately:
+/// a server that refuses the connection has crashed, and one that accepts it gets its next request
+/// over it.
 pub(super) fn on_broken<W: WireProtocol>(
     host: &rc::Rc<EntryHost<W>>,
     server: &rc::Rc<FleetServer>,
     fingerprint: RequestFingerprint,
 ) {
     if host.quarantine.on_broken(&server.id, fingerprint) {
-        let probe = look_after(rc::Rc::clone(host), rc::Rc::clone(server));
-        tokio::task::spawn_local(probe);
+        let check = check_server(rc::Rc::clone(host), rc::Rc::clone(server));
+        tokio::task::spawn_local(check);
     }
 }
 
-async fn look_after<W: WireProtocol>(host: rc::Rc<EntryHost<W>>, server: rc::Rc<FleetServer>) {
+async fn check_server<W: WireProtocol>(host: rc::Rc<EntryHost<W>>, server: rc::Rc<FleetServer>) {
     let limit = host.distances.borrow().connect_limit(&server.region);
     let connected = pool::connect(&server, limit).await;
     let requests = host.quarantine.take_broken(&server.id);
@@ -142,7 +150,7 @@
             let mut pool = host.pool.borrow_mut();
             pool.put(&server.id, sender, None, host.now());
         }
-        // It runs, or cannot be reached from here: what broke says nothing about the requests.
+        // The server is running, or is not reachable from here: neither incriminates the requests.
         Ok(_) | Err(ConnectFault::Silent) => {}
         Err(ConnectFault::Refused) => {
             host.on_server_unreachable(&server);
@@ -151,18 +159,18 @@
     }
 }
 
-/// Another host speaks of suspects.
+/// Handles a message about suspects from another host.
 pub(super) fn on_message<W: WireProtocol>(host: &EntryHost<W>, message: &QuarantineMessage) {
     match message {
         QuarantineMessage::Ended(end) => {
-            let _counted = host.count_ends(end);
+            let _unannounced = host.record_crash(end);
         }
         QuarantineMessage::Records(records) => host.on_suspects_told(records, "peer"),
     }
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Whether a request may be sent to servers now.
+    /// Decides whether a request may be sent to servers now. Takes a probe that is due.
     pub(super) fn admit_suspect(&self, open: &OpenRequest) -> SuspectAdmission {
         let mut table = self.quarantine.table.borrow_mut();
         if !table.has_told() {
@@ -174,34 +182,34 @@
         }
         let now = self.now();
         table.on_refused(fingerprint, now);
-        if !self.tries_barred(fingerprint, now) {
+        if !self.may_probe(fingerprint, now) {
             return SuspectAdmission::Barred;
         }
         let Some(record) = table.try_barred(fingerprint, now) else {
             return SuspectAdmission::Barred;
         };
         drop(table);
-        self.note_suspect(EventCode::RequestTried, &record, "timer");
-        self.tell_all(&[record]);
+        self.log_suspect(EventCode::RequestTried, &record, "timer");
+        self.announce_records(&[record]);
         SuspectAdmission::Trial
     }
 
-    /// Whether the trials of a barred request are this host's: one host takes them all, the first that counts
-    /// its ends, and only one that knows all others.
-    fn tries_barred(&self, fingerprint: RequestFingerprint, now: Moment) -> bool {
+    /// Returns whether this host probes a blocked request. Only the first of its suspect trackers
+    /// does, provided that it knows the list of all hosts and is not leaving.
+    fn may_probe(&self, fingerprint: RequestFingerprint, now: Moment) -> bool {
         let peers = self.peers.borrow();
         peers.is_listed()
             && !self.is_leaving()
             && peers.is_first_keeper(&self.record(), fingerprint, now)
     }
 
-    /// Whether a request is kept from servers.
+    /// Returns whether a request is blocked.
     pub(super) fn is_barred(&self, open: &OpenRequest) -> bool {
         let table = self.quarantine.table.borrow();
         table.has_told() && table.is_barred(open.fingerprint())
     }
 
-    /// A server answered a request: with a whole success, other servers did not end under it.
+    /// Clears a suspect when a server has answered it with a complete, successful response.
     pub(super) fn on_success(&self, open: &OpenRequest, answer: &ServerAnswer) {
         let is_whole_success = answer.head.status.is_success() && answer.rest.is_none();
         if !is_whole_success || !self.quarantine.table.borrow().has_told() {
@@ -213,64 +221,65 @@
         let change = table.on_success(fingerprint, self.now());
         drop(table);
         if let SuspectChange::Tell(record) = change {
-            self.note_suspect(EventCode::RequestCleared, &record, "answer");
+            self.log_suspect(EventCode::RequestCleared, &record, "answer");
             if before == Some(SuspectState::Barred) {
                 let name = fingerprint.to_string();
-                self.quarantine.push_store_task(StoreTask::Remove(name));
+                self.quarantine.queue_store_task(StoreTask::Remove(name));
             }
-            self.tell_all(&[record]);
+            self.announce_records(&[record]);
         }
     }
 
-    /// A server ended with these requests of this host in hand.
+    /// Handles a crash of a server on which `requests` of this host were in flight.
     fn on_server_ended(&self, server: &FleetServer, requests: &[RequestFingerprint]) {
         self.metrics.borrow_mut().servers_ended += 1;
-        let named = requests.iter().take(REQUESTS_PER_DATAGRAM);
-        let named: Vec<String> = named.map(ToString::to_string).collect();
-        let fields = json!({ "server": server.id, "count": requests.len(), "requests": named });
+        let listed = requests.iter().take(REQUESTS_PER_DATAGRAM);
+        let listed: Vec<String> = listed.map(ToString::to_string).collect();
+        let fields = json!({ "server": server.id, "count": requests.len(), "requests": listed });
         self.note(EventCode::ServerEnded, fields);
-        for part in requests.chunks(REQUESTS_PER_DATAGRAM) {
+        for chunk in requests.chunks(REQUESTS_PER_DATAGRAM) {
             let end = ServerEnd {
                 server: server.hash,
-                requests: part.to_vec(),
+                requests: chunk.to_vec(),
             };
-            let counted = self.count_ends(&end);
-            self.tell_keepers(server.hash, &counted);
+            let unannounced = self.record_crash(&end);
+            self.send_to_trackers(server.hash, &unannounced);
         }
     }
 
-    /// Counts a server's end for each request that it had in hand, and tells all hosts of those that they must
-    /// know. Returns the others.
-    fn count_ends(&self, end: &ServerEnd) -> Vec<RequestFingerprint> {
+    /// Records a server's crash for each request that was in flight on it, and announces the
+    /// suspects that all hosts must know. Returns the requests that only their suspect trackers
+    /// need to know.
+    fn record_crash(&self, end: &ServerEnd) -> Vec<RequestFingerprint> {
         let now = self.now();
-        let mut counted = Vec::new();
-        let mut told = Vec::new();
+        let mut unannounced = Vec::new();
+        let mut announced = Vec::new();
         for fingerprint in &end.requests {
             let mut table = self.quarantine.table.borrow_mut();
             match table.on_ended(*fingerprint, end.server, now) {
                 SuspectChange::None => {}
-                SuspectChange::Counted => counted.push(*fingerprint),
-                SuspectChange::Tell(record) => told.push(record),
+                SuspectChange::Counted => unannounced.push(*fingerprint),
+                SuspectChange::Tell(record) => announced.push(record),
             }
         }
-        for record in &told {
-            self.on_suspect(record, "count");
+        for record in &announced {
+            self.on_announced_suspect(record, "count");
         }
-        self.tell_all(&told);
-        counted
+        self.announce_records(&announced);
+        unannounced
     }
 
-    /// This host counted a suspect that all must know.
-    fn on_suspect(&self, record: &SuspectRecord, source: &str) {
+    /// Logs a suspect that this host found to be blocked and queues it for the store.
+    fn on_announced_suspect(&self, record: &SuspectRecord, source: &str) {
         let state = self.quarantine.table.borrow().state_of(record.fingerprint);
         if state == Some(SuspectState::Barred) {
-            self.note_suspect(EventCode::RequestBarred, record, source);
+            self.log_suspect(EventCode::RequestBarred, record, source);
             let task = StoreTask::Write(record.clone());
-            self.quarantine.push_store_task(task);
+            self.quarantine.queue_store_task(task);
         }
     }
 
-    /// Another host, or the store, tells what it knows.
+    /// Merges records from another host or the store.
     pub(super) fn on_suspects_told(&self, records: &[SuspectRecord], source: &str) {
         let now = self.now();
         for record in records {
@@ -283,21 +292,22 @@
             drop(table);
             match state {
                 Some(SuspectState::Barred) => {
-                    self.note_suspect(EventCode::RequestBarred, record, source);
-                    // Nobody has counted the last end where the words of several hosts make the bar.
+                    self.log_suspect(EventCode::RequestBarred, record, source);
+                    // When the limit is reached only by merging the records of several hosts, no
+                    // host has recorded the last crash and written the request to the store.
                     if !was_barred && source != STORE_SOURCE {
                         self.write_if_first(record.fingerprint);
                     }
                 }
                 Some(SuspectState::Cleared) => {
-                    self.note_suspect(EventCode::RequestCleared, record, source);
+                    self.log_suspect(EventCode::RequestCleared, record, source);
                 }
                 Some(SuspectState::Counted | SuspectState::Known) | None => {}
             }
         }
     }
 
-    fn note_suspect(&self, event: EventCode, record: &SuspectRecord, source: &str) {
+    fn log_suspect(&self, event: EventCode, record: &SuspectRecord, source: &str) {
         let fields = json!({
             "fingerprint": record.fingerprint.to_string(),
             "servers_ended": record.ended.len(),
@@ -306,7 +316,7 @@
         self.note(event, fields);
     }
 
-    fn tell_all(&self, records: &[SuspectRecord]) {
+    fn announce_records(&self, records: &[SuspectRecord]) {
         if records.is_empty() {
             return;
         }
@@ -315,28 +325,28 @@
             let records = peers.records();
             records.map(|record| record.heartbeat_address).collect()
         };
-        for part in records.chunks(RECORDS_PER_DATAGRAM) {
-            let message = QuarantineMessage::Records(part.to_vec());
+        for chunk in records.chunks(RECORDS_PER_DATAGRAM) {
+            let message = QuarantineMessage::Records(chunk.to_vec());
             gossip::send(self, &PeerMessage::Quarantine(message), &targets);
         }
     }
 
-    /// Tells the hosts that count of ends that this one counts alone so far; those with the same hosts share a
-    /// datagram.
-    fn tell_keepers(&self, server: u64, requests: &[RequestFingerprint]) {
-        let mut by_keeper: collections::BTreeMap<net::SocketAddr, Vec<RequestFingerprint>> =
+    /// Sends crashes that are not announced to all hosts to the suspect trackers of each request.
+    /// Requests with the same tracker share a datagram.
+    fn send_to_trackers(&self, server: u64, requests: &[RequestFingerprint]) {
+        let mut by_tracker: collections::BTreeMap<net::SocketAddr, Vec<RequestFingerprint>> =
             collections::BTreeMap::new();
         let now = self.now();
         let peers = self.peers.borrow();
         for fingerprint in requests {
-            for keeper in peers.suspect_keepers(*fingerprint, KEEPERS, now) {
-                by_keeper.entry(keeper).or_default().push(*fingerprint);
+            for tracker in peers.suspect_keepers(*fingerprint, KEEPERS, now) {
+                by_tracker.entry(tracker).or_default().push(*fingerprint);
             }
         }
         drop(peers);
-        for (keeper, requests) in by_keeper {
+        for (tracker, requests) in by_tracker {
             let message = QuarantineMessage::Ended(ServerEnd { server, requests });
-            gossip::send(self, &PeerMessage::Quarantine(message), &[keeper]);
+            gossip::send(self, &PeerMessage::Quarantine(message), &[tracker]);
         }
     }
 }
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -1,5 +1,5 @@
-//! What is barred outlives the loss of all hosts: it is written to the store, and read there by hosts that
-//! start when no other can tell them.
+//! Persists blocked requests in the store, so that they survive the loss of all hosts. A starting
+//! host reads them from the store when no other host can send them.
 
 use std::{rc, time};
 
@@ -18,21 +18,22 @@
 use crate::event::EventCode;
 use crate::timer;
 
-/// How often a host that has started looks whether another has told it, or the store is its to read.
-const READ_CHECK: time::Duration = time::Duration::from_millis(100);
-/// Pages that are read at most; a page holds hundreds.
+/// Interval at which a starting host checks whether another host has sent the suspects or whether
+/// it has to read them from the store itself.
+const READ_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Maximum number of pages to read; a page holds hundreds of objects.
 const MAX_PAGES: usize = 16;
 
-/// What is to be done in the store.
+/// A pending write to the store.
 #[derive(Debug, Clone)]
 pub(super) enum StoreTask {
-    /// A request was barred.
+    /// Create the object of a blocked request.
     Write(SuspectRecord),
-    /// The request of this name was cleared.
+    /// Delete the object with this name, whose request was cleared or has expired.
     Remove(String),
 }
 
-/// Starts the tasks that read and write the store.
+/// Starts the tasks that read from and write to the store.
 pub(in crate::entry) fn spawn<W: WireProtocol, S: ObjectStore>(
     host: &rc::Rc<EntryHost<W>>,
     store: &rc::Rc<S>,
@@ -41,23 +42,24 @@
     tokio::task::spawn_local(write_all(rc::Rc::clone(host), rc::Rc::clone(store)));
 }
 
-/// Reads what is barred, unless another host tells it first. Nothing is when the whole system starts for the
-/// first time.
+/// Reads the blocked requests from the store, unless another host sends them first. On the first
+/// start of the whole system there are none.
 async fn read_once<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     if host.settings().first_start {
         host.quarantine.on_read();
     }
     let mut pause_ms = follow::FIRST_PAUSE_MS;
-    while !host.quarantine.read.get() {
-        // Those that read the list of servers themselves were told by no other host.
+    while !host.quarantine.is_loaded.get() {
+        // Only watchers read the store: they read the list of servers themselves because no other
+        // host sent it.
         if !host.is_watcher() {
-            tokio::time::sleep(READ_CHECK).await;
+            tokio::time::sleep(READ_CHECK_INTERVAL).await;
             continue;
         }
         match read_all(&host, &*store).await {
             Ok(()) => host.quarantine.on_read(),
             Err(fault) => {
-                note_fault(&host, &fault);
+                log_fault(&host, &fault);
                 follow::pause_up_to(&host, pause_ms).await;
                 pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
             }
@@ -73,7 +75,7 @@
     for _ in 0..MAX_PAGES {
         let page =
             follow::within_limit(store.list(ObjectKind::Quarantine, after.as_deref())).await?;
-        take_over(host, &page.objects);
+        apply_objects(host, &page.objects);
         after = page.objects.last().map(|object| object.name.clone());
         if !page.more || after.is_none() {
             break;
@@ -82,95 +84,97 @@
     Ok(())
 }
 
-fn take_over<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
+fn apply_objects<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
     let unix_ms = timer::unix_millis();
     for object in objects {
         match &object.content {
             ObjectContent::Suspect(stored) if stored.is_out_of_date(unix_ms) => {
                 let task = StoreTask::Remove(object.name.clone());
-                host.quarantine.push_store_task(task);
+                host.quarantine.queue_store_task(task);
             }
             ObjectContent::Suspect(stored) => match stored.record() {
                 Some(record) => host.on_suspects_told(&[record], STORE_SOURCE),
-                None => note_unreadable(host, object, "not a fingerprint"),
+                None => log_unreadable(host, object, "not a fingerprint"),
             },
-            ObjectContent::Unreadable(reason) => note_unreadable(host, object, reason),
+            ObjectContent::Unreadable(reason) => log_unreadable(host, object, reason),
             ObjectContent::Configuration(_)
             | ObjectContent::Server(_)
             | ObjectContent::Evacuation
             | ObjectContent::Rollout(_)
-            | ObjectContent::Host(_) => note_unreadable(host, object, "another kind of object"),
+            | ObjectContent::Host(_) => log_unreadable(host, object, "another kind of object"),
         }
     }
 }
 
-fn note_unreadable<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject, reason: &str) {
+fn log_unreadable<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject, reason: &str) {
     let fields = json!({ "object": object.name, "reason": reason });
     host.note(EventCode::ObjectUnreadable, fields);
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// What is barred may have been lost by the store: of the hosts that know a record the first writes it again.
+    /// Writes the blocked requests again after the store may have lost them. Each is written by the
+    /// first of its suspect trackers.
     pub(in crate::entry) fn write_barred_again(&self) {
         for record in self.quarantine.records(self.now()) {
             self.write_if_first(record.fingerprint);
         }
     }
 
-    /// Writes a barred request to the store, if this host is the first of those that count its ends.
+    /// Queues a blocked request for the store if this host is the first of its suspect trackers.
     pub(super) fn write_if_first(&self, fingerprint: RequestFingerprint) {
         let now = self.now();
-        let record = self.quarantine.barred_record(fingerprint, now);
+        let record = self.quarantine.blocked_record(fingerprint, now);
         let peers = self.peers.borrow();
         let is_first = peers.is_first_keeper(&self.record(), fingerprint, now);
         if let Some(record) = record.filter(|_| is_first) {
-            self.quarantine.push_store_task(StoreTask::Write(record));
+            self.quarantine.queue_store_task(StoreTask::Write(record));
         }
     }
 }
 
-/// Does what is due in the store, one call after the other, each until it is done.
+/// Runs the pending store tasks one after the other, retrying each until it succeeds.
 async fn write_all<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     loop {
-        let due = host.quarantine.to_store.take();
-        if due.is_empty() {
+        let tasks = host.quarantine.pending_store_tasks.take();
+        if tasks.is_empty() {
             host.quarantine.has_store_task.notified().await;
         }
-        for task in due {
-            do_until_done(&host, &*store, &task).await;
+        for task in tasks {
+            run_until_done(&host, &*store, &task).await;
         }
     }
 }
 
-async fn do_until_done<W: WireProtocol, S: ObjectStore>(
+async fn run_until_done<W: WireProtocol, S: ObjectStore>(
     host: &EntryHost<W>,
     store: &S,
     task: &StoreTask,
 ) {
     let mut pause_ms = follow::FIRST_PAUSE_MS;
-    while let Err(fault) = follow::within_limit(do_task(store, task)).await {
-        note_fault(host, &fault);
+    while let Err(fault) = follow::within_limit(run_task(store, task)).await {
+        log_fault(host, &fault);
         follow::pause_up_to(host, pause_ms).await;
         pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
     }
 }
 
-/// Several hosts may count the last end and write: the first is as good as any.
-async fn do_task<S: ObjectStore>(store: &S, task: &StoreTask) -> StoreResult<()> {
-    let done = match task {
+/// Runs one task. A conflict or a missing object counts as success, since several hosts may write
+/// or delete the same request.
+async fn run_task<S: ObjectStore>(store: &S, task: &StoreTask) -> StoreResult<()> {
+    let result = match task {
         StoreTask::Write(record) => {
             let stored = StoredSuspect::from_record(record, timer::unix_millis());
             store.create_suspect(&stored).await
         }
         StoreTask::Remove(name) => store.delete_suspect(name).await,
     };
-    match done {
+    match result {
         Err(StoreFault::Conflict | StoreFault::Absent) => Ok(()),
-        done => done,
+        result => result,
     }
 }
 
-fn note_fault<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
+fn log_fault<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
     let fields = json!({ "fault": fault.to_string() });
     host.note(EventCode::QuarantineNotStored, fields);
 }
