--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -1,7 +1,9 @@
-//! This host's part in roll-outs: it joins the decisions of [`crate::rollout`] to sockets, clock and store.
+//! Runs rollouts on an entry host: connects the decisions of [`crate::rollout`] to sockets, clock
+//! and store.
 //!
-//! The first host of each region that watches the store decides for its region. The others report to it what they
-//! count, and those of different regions tell each other their sums.
+//! The first watcher of each region, by rank, is the region's rollout leader and decides for it.
+//! The other hosts report their counts to the leader, and the leaders exchange the sums of their
+//! regions.
 
 use std::{cell, collections, net, rc, time};
 
@@ -17,63 +19,63 @@
 use crate::event::EventCode;
 use crate::rollout::message::{RolloutAnswer, RolloutChange, RolloutNews, RolloutReport};
 use crate::rollout::order::{RolloutRecord, VersionTag};
-use crate::rollout::pace;
 use crate::rollout::plan::VersionRule;
+use crate::rollout::report_schedule;
 use crate::rollout::table::{RegionView, RolloutTable};
 use crate::timer::Moment;
 
-/// An answer that took this many times as long as usual counts as bad.
+/// Multiple of the expected time from which on an answer that also misses its goal counts as bad.
 pub(super) const SLOW_FACTOR: f64 = 3.0;
-/// Hosts that decide for their regions record in turn, so that one call does: each waits this much longer than the one
-/// before, in milliseconds.
-const RECORD_TURN_MS: u64 = 1_000;
-/// How often it is looked whether something is to be recorded.
-const RECORD_CHECK: time::Duration = time::Duration::from_millis(200);
+/// Delay between one region's leader and the next before they record a state in the store, in
+/// milliseconds. Because of it one call is usually enough.
+const RECORD_STAGGER_MS: u64 = 1_000;
+/// Interval at which the leader checks for states to record.
+const RECORD_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// The roll-outs that a host knows.
+/// The rollouts that this host knows.
 #[derive(Debug, Default)]
 pub struct RolloutRole {
     table: cell::RefCell<RolloutTable>,
-    reported: cell::Cell<Moment>,
+    last_report: cell::Cell<Moment>,
 }
 
 impl RolloutRole {
-    /// What other hosts are told.
+    /// The state that is sent to other hosts.
     pub(super) fn news(&self, now: Moment) -> RolloutNews {
         self.table.borrow().news(now)
     }
 
-    /// The store's position up to which the orders are current.
+    /// The store revision up to which the rollouts are current.
     pub(super) fn position(&self) -> u64 {
         self.table.borrow().position()
     }
 
-    /// A request of `service` has ended on a server.
+    /// Counts the result of a request of `service`.
     pub(super) fn on_answer(&self, service: &str, answer: &RolloutAnswer<'_>) {
         self.table.borrow_mut().on_answer(service, answer);
     }
 
-    /// A host of this region has reported.
+    /// Stores the report of a host in this region.
     pub(super) fn on_host_report(&self, report: RolloutReport, now: Moment) {
         self.table.borrow_mut().on_host_report(report, now);
     }
 
-    /// Another region has reported.
+    /// Stores the report of another region.
     pub(super) fn on_region_report(&self, report: RolloutReport, now: Moment) {
         self.table.borrow_mut().on_region_report(report, now);
     }
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Takes over the whole list of orders, current up to `position`.
+    /// Applies the complete list of rollouts, current up to store revision `position`.
     pub(super) fn on_rollout_list(&self, objects: &[StoredObject], position: u64) {
-        self.note_unreadable_rollouts(objects.iter());
-        let orders = objects.iter().filter_map(|object| match &object.content {
+        self.log_unreadable_rollouts(objects.iter());
+        let rollouts = objects.iter().filter_map(|object| match &object.content {
             ObjectContent::Rollout(stored) => Some((stored.clone(), object.revision)),
             _ => None,
         });
         let mut table = self.rollouts.table.borrow_mut();
-        table.on_list(orders.collect(), position, self.now());
+        table.on_list(rollouts.collect(), position, self.now());
         let is_empty = table.is_empty();
         drop(table);
         if !is_empty {
@@ -81,9 +83,9 @@
         }
     }
 
-    /// Takes over what a watch of the orders brought.
+    /// Applies changes from the watch of rollouts.
     pub(super) fn on_rollout_changes(&self, batch: &ChangeBatch) {
-        self.note_unreadable_rollouts(batch.changes.iter().map(|change| &change.object));
+        self.log_unreadable_rollouts(batch.changes.iter().map(|change| &change.object));
         let now = self.now();
         let mut table = self.rollouts.table.borrow_mut();
         for change in &batch.changes {
@@ -100,7 +102,7 @@
         gossip::announce(self);
     }
 
-    fn note_unreadable_rollouts<'a>(&self, objects: impl Iterator<Item = &'a StoredObject>) {
+    fn log_unreadable_rollouts<'a>(&self, objects: impl Iterator<Item = &'a StoredObject>) {
         for object in objects {
             if let ObjectContent::Unreadable(reason) = &object.content {
                 let fields = json!({ "object": object.name, "reason": reason });
@@ -109,67 +111,69 @@
         }
     }
 
-    /// Another host tells what it knows of orders. Who decides for its region passes on what is new there.
+    /// Merges the state of another host. The rollout leader forwards changes to its region.
     pub(super) fn on_rollout_news(&self, news: &RolloutNews) {
         let now = self.now();
-        let is_news = self.rollouts.table.borrow_mut().on_news(news, now);
-        if is_news && self.decides_rollouts(now) {
+        let has_changed = self.rollouts.table.borrow_mut().on_news(news, now);
+        if has_changed && self.leads_rollouts(now) {
             gossip::announce(self);
         }
     }
 
-    /// Which versions may get a request of `service` about `object`; `is_repeat` tells that a server has failed it.
+    /// Returns the versions that may get a request of `service` for `object`. `is_retry` is set
+    /// for a retry after a server failed the request.
     pub(super) fn version_rule(
         &self,
         service: &str,
         object: Option<u64>,
-        is_repeat: bool,
+        is_retry: bool,
     ) -> VersionRule {
         let table = self.rollouts.table.borrow();
         if table.is_empty() {
             return VersionRule::Any;
         }
         let point = match object {
-            // Not the number by which the servers are ranked.
+            // Hashed once more, so that it is independent of the number that ranks the servers.
             Some(object) => hash::uniform(hash::mix(object)),
             None => rand::Rng::random(&mut *self.random.borrow_mut()),
         };
         let canary_share = self.settings().bounds.canary_share.unwrap_or(0.0);
-        table.rule_of(service, point, canary_share, is_repeat, self.now())
+        table.rule_of(service, point, canary_share, is_retry, self.now())
     }
 
-    fn decides_rollouts(&self, now: Moment) -> bool {
+    fn leads_rollouts(&self, now: Moment) -> bool {
         self.peers.borrow().is_first_watcher(&self.record(), now)
     }
 
-    /// Reports what was counted, or decides, for each order whose traffic is being moved.
+    /// For each rollout in progress, reports the counts to the leader or, as the leader, decides.
     pub(super) fn on_rollout_tick(&self) {
         let now = self.now();
-        let is_early = now.since(self.rollouts.reported.get()) < pace::REPORT_MS;
+        let is_early =
+            now.since(self.rollouts.last_report.get()) < report_schedule::MIN_REPORT_INTERVAL_MS;
         if self.rollouts.table.borrow().is_empty() || is_early {
             return;
         }
-        self.rollouts.reported.set(now);
+        self.rollouts.last_report.set(now);
         let table = self.rollouts.table.borrow();
         let running = table.running();
         let running = running.map(|order| (order.service.clone(), order.target_tag()));
         let running: Vec<_> = running.collect();
         drop(table);
-        let decider = {
+        let leader = {
             let peers = self.peers.borrow();
             let first = peers.first_watcher(&self.record(), now);
             first.map(|record| record.heartbeat_address)
         };
         for (service, target) in running {
             let others_open = self.open_on_others(&service, target);
-            match decider {
-                Some(decider) => self.report_rollout(&service, others_open, decider),
+            match leader {
+                Some(leader) => self.report_rollout(&service, others_open, leader),
                 None => self.decide_rollout(&service, others_open, now),
             }
         }
     }
 
-    /// Requests of this host that are under way on servers of other versions.
+    /// Number of this host's requests in flight on servers of other versions.
     fn open_on_others(&self, service: &str, target: VersionTag) -> u32 {
         let fleet = self.fleet.borrow();
         let servers = fleet.of_service(service).iter();
@@ -177,7 +181,7 @@
         others.map(|server| server.in_flight()).sum()
     }
 
-    fn report_rollout(&self, service: &str, others_open: u32, decider: net::SocketAddr) {
+    fn report_rollout(&self, service: &str, others_open: u32, leader: net::SocketAddr) {
         let settings = self.settings();
         let source = hash::of_name(&settings.name);
         let hosts = self.peers.borrow().region_size(&settings.region);
@@ -186,7 +190,7 @@
         let report = table.own_report(service, source, others_open, hosts, now);
         drop(table);
         if let Some(report) = report {
-            gossip::send(self, &PeerMessage::RolloutReport(report), &[decider]);
+            gossip::send(self, &PeerMessage::RolloutReport(report), &[leader]);
         }
     }
 
@@ -194,7 +198,7 @@
         let region = self.settings().region.clone();
         let (view, targets) = {
             let peers = self.peers.borrow();
-            // A handful of regions.
+            // There are only a few regions, so the cast is safe.
             let others = peers.other_live_regions(&region, now).len() as u32;
             let view = RegionView {
                 others_open,
@@ -212,12 +216,12 @@
             gossip::send(self, &PeerMessage::RegionRollout(report), &targets);
         }
         if let Some(change) = change {
-            self.note_rollout(&change);
+            self.log_rollout(&change);
             self.announce_rollout(&targets);
         }
     }
 
-    fn note_rollout(&self, change: &RolloutChange) {
+    fn log_rollout(&self, change: &RolloutChange) {
         let fields = json!({
             "service": change.order.service,
             "target": change.order.target,
@@ -227,7 +231,7 @@
         self.note(EventCode::RolloutChanged, fields);
     }
 
-    /// Tells the own region, and those who pass it on in the others.
+    /// Announces a change in the own region, and to the hosts that relay it in other regions.
     fn announce_rollout(&self, targets: &[net::SocketAddr]) {
         gossip::announce(self);
         let heartbeat = PeerMessage::Heartbeat(Box::new(self.heartbeat(true)));
@@ -239,16 +243,16 @@
         table.unrecorded(self.record_wait_ms(), now)
     }
 
-    /// How long this host waits before it records what others may record as well, in milliseconds.
+    /// Delay before this host records a state that other leaders may record too, in milliseconds.
     fn record_wait_ms(&self) -> u64 {
         let settings = self.settings();
         let regions: collections::BTreeSet<_> = settings.halls.regions();
         let place = regions.iter().position(|region| *region == settings.region);
-        place.unwrap_or_default() as u64 * RECORD_TURN_MS
+        place.unwrap_or_default() as u64 * RECORD_STAGGER_MS
     }
 }
 
-/// Starts the task that records in the store how far orders have come.
+/// Starts the task that records the states of rollouts in the store.
 pub(super) fn spawn<W: WireProtocol, S: ObjectStore>(
     host: &rc::Rc<EntryHost<W>>,
     store: &rc::Rc<S>,
@@ -261,9 +265,9 @@
 async fn record_all<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     let mut pause_ms = follow::FIRST_PAUSE_MS;
     loop {
-        tokio::time::sleep(RECORD_CHECK).await;
+        tokio::time::sleep(RECORD_CHECK_INTERVAL).await;
         let now = host.now();
-        if host.rollouts.table.borrow().is_empty() || !host.decides_rollouts(now) {
+        if host.rollouts.table.borrow().is_empty() || !host.leads_rollouts(now) {
             continue;
         }
         for record in host.unrecorded_rollouts(now) {
@@ -274,7 +278,7 @@
                     pause_ms = follow::FIRST_PAUSE_MS;
                 }
                 Err(fault) => {
-                    note_not_recorded(&host, &fault);
+                    log_not_recorded(&host, &fault);
                     follow::pause_up_to(&host, pause_ms).await;
                     pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
                 }
@@ -283,8 +287,8 @@
     }
 }
 
-fn note_not_recorded<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
-    // The watch brings what another host has recorded.
+fn log_not_recorded<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
+    // If another host has recorded the state, the watch delivers it.
     let fields = json!({ "fault": fault.to_string() });
     host.note(EventCode::RolloutNotRecorded, fields);
 }
--- a/src/rollout/message.rs
+++ b/src/rollout/message.rs
@@ -1,68 +1,68 @@
-//! What hosts tell each other of roll-outs, and what requests tell of them.
+//! Messages between hosts about rollouts, and the results of requests that rollouts depend on.
 
 use super::order::{RolloutOrder, RolloutState, VersionTag};
 use super::plan::RolloutStep;
 use super::tally::ServiceTally;
 
-/// How far an order has come, as hosts tell each other.
+/// The progress of one rollout, as sent between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RolloutProgress {
-    /// The order.
+    /// What the operator requested.
     pub order: RolloutOrder,
-    /// The store's position at the object's last change.
+    /// The store revision of the object's last change.
     pub revision: u64,
-    /// How long ago the order was first seen, in milliseconds.
+    /// Time since a host first saw the rollout, in milliseconds.
     pub age_ms: u64,
     /// How far the traffic has moved.
     pub step: RolloutStep,
-    /// What has been decided.
+    /// The decision so far.
     pub state: RolloutState,
 }
 
-/// All orders, as hosts tell each other.
+/// All rollouts, as sent between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct RolloutNews {
-    /// The store's position up to which the orders are current; 0 where none were ever read.
+    /// The store revision up to which the list is current; 0 if it was never read.
     pub position: u64,
-    /// The orders.
+    /// The progress of each rollout.
     pub orders: Vec<RolloutProgress>,
 }
 
-/// What a host counts, or a region's hosts together, since an order.
+/// The counts of one host, or of all hosts of a region, since the start of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RolloutReport {
-    /// Who counts: a hash of the host's name, or of the region's.
+    /// Who reports: a hash of the host's or the region's name.
     pub source: u64,
-    /// The order's service.
+    /// The service.
     pub service: String,
-    /// When the order was made.
+    /// The store revision at which the rollout was created.
     pub created: u64,
-    /// How the requests ended.
+    /// The results of the requests.
     pub tally: ServiceTally,
-    /// Requests that are under way on servers of other versions.
+    /// Number of requests in flight on servers of other versions.
     pub others_open: u32,
-    /// How far the traffic of the region has moved.
+    /// How far the region's traffic has moved.
     pub step: RolloutStep,
 }
 
-/// What must be done for an order.
+/// A change of a rollout's step or state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutChange {
-    /// The order.
+    /// What the operator requested.
     pub order: RolloutOrder,
-    /// How far the traffic moves.
+    /// How far the traffic is to move.
     pub step: RolloutStep,
-    /// What is decided.
+    /// The decision.
     pub state: RolloutState,
 }
 
-/// How a request ended on a server.
+/// The result of one request on one server.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutAnswer<'a> {
-    /// Its route.
+    /// The request's route.
     pub route: &'a str,
     /// The server's version.
     pub version: VersionTag,
-    /// Whether it failed, or took several times as long as usual.
+    /// Whether the request failed or took several times as long as expected.
     pub is_bad: bool,
 }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,14 +1,16 @@
-//! Roll-outs: the operator asks that the traffic of a service moves to servers of another version.
+//! Rollouts: moves the traffic of a service to servers of another version at the operator's
+//! request.
 //!
-//! **Load pattern.** A version that fails, or is slow, shows it only under requests, at times only under many or on one
-//! route. So a small part of a service's requests goes to it first, every host reports how they ended to one host
-//! of its region, and that one widens the part or gives the version up. Decisions only, driven by messages and time;
-//! `entry::rollout_role` joins them to sockets, clock and store.
+//! **Load pattern.** A version that fails or is slow shows it only when it serves requests,
+//! sometimes only under high load or on one route. So the version first gets a small share of the
+//! service's requests. Every host reports their results to the rollout leader of its region, which
+//! increases the share or reverts the rollout. This module only decides, driven by messages and
+//! time; `entry::rollout_role` connects it to sockets, clock and store.
 
 pub mod message;
-mod open_rollout;
 pub mod order;
-pub mod pace;
 pub mod plan;
+pub mod report_schedule;
 pub mod table;
 pub mod tally;
+mod tracked_rollout;
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -1,15 +1,16 @@
-//! What the operator orders, and what came of it.
+//! What the operator requests of a rollout, and the state it has reached.
 
 use xxhash_rust::xxh3;
 
-/// Stands for the name of a software version: thousands of servers carry one.
+/// A compact identifier of a software version, a hash of its name. Thousands of server records hold
+/// one.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct VersionTag(u32);
 
 impl VersionTag {
-    /// The tag of a version's name.
+    /// Computes the tag of a version name.
     ///
     /// ```
     /// use ledgespool::rollout::order::VersionTag;
@@ -17,55 +18,56 @@
     /// ```
     #[must_use]
     pub fn of_name(name: &str) -> Self {
-        // The lower half of the hash.
+        // The lower 32 bits of the hash.
         Self(xxh3::xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-/// An order to move the traffic of a service.
+/// A request by the operator to move the traffic of a service to another version.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RolloutOrder {
     /// The object's name in the store.
     pub name: String,
     /// The service.
     pub service: String,
-    /// The version that its traffic moves to.
+    /// The version that the traffic moves to.
     pub target: String,
-    /// The time within which it is to be done, in milliseconds.
+    /// The time within which the rollout is to complete, in milliseconds.
     pub over_ms: u64,
-    /// The store's count when the order was made, which tells it from an earlier one for the same service.
+    /// The store revision at which the rollout was created. It distinguishes the rollout from
+    /// earlier ones of the same service.
     pub created: u64,
 }
 
 impl RolloutOrder {
-    /// The tag of the version that the traffic moves to.
+    /// The tag of the target version.
     #[must_use]
     pub fn target_tag(&self) -> VersionTag {
         VersionTag::of_name(&self.target)
     }
 
-    /// Whether both are the same order.
+    /// Returns whether both describe the same rollout.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.created == other.created && self.target == other.target
     }
 }
 
-/// How far an order has come.
+/// The state of a rollout.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub enum RolloutState {
     /// The traffic is being moved.
     Running,
-    /// All traffic has moved; servers of other versions stop.
+    /// All traffic has moved; servers of other versions are stopped.
     Complete,
-    /// The version was found to be bad; it gets no requests.
+    /// The target version was found to be bad and gets no requests.
     Reverted,
 }
 
 impl RolloutState {
-    /// Whether nothing more is done for the order.
+    /// Returns whether the rollout is finished.
     ///
     /// ```
     /// use ledgespool::rollout::order::RolloutState;
@@ -77,22 +79,22 @@
     }
 }
 
-/// An order as the store holds it.
+/// A rollout as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRollout {
-    /// The order.
+    /// What the operator requested.
     pub order: RolloutOrder,
-    /// What was last recorded of it; `None` for nothing yet.
+    /// The last recorded state; `None` if none was recorded yet.
     pub state: Option<RolloutState>,
 }
 
-/// A state that is to be recorded in the store.
+/// A state to record in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutRecord {
-    /// The order.
+    /// What the operator requested.
     pub order: RolloutOrder,
-    /// Its state.
+    /// The state to record.
     pub state: RolloutState,
-    /// The store's position at which the object must still stand.
+    /// The object's expected store revision; the write fails if the object has changed since.
     pub revision: u64,
 }
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -1,22 +1,23 @@
-//! Which part of a service's requests a new version gets, and when.
+//! The share of a service's requests that a new version gets at each step of a rollout.
 
 use super::order::VersionTag;
 
-/// Of the part that a bad version may get over the whole time, the part of requests in the first step.
+/// Share of requests in the first step, relative to the share that a bad version may get over
+/// the whole rollout.
 const CANARY_FACTOR: f64 = 0.1;
-/// The same in the second step.
+/// Same for the second step.
 const WIDER_FACTOR: f64 = 0.5;
-/// The same in the third step.
+/// Same for the third step.
 const MOST_FACTOR: f64 = 2.0;
-/// When the second, third and fourth step begin, as parts of the time that the order gives. A version may turn bad at any
-/// moment and under any load, so all requests go there only at the end: what it gets before the order is complete is
-/// about what a bad one may get.
+/// When the second, third and fourth step start, as fractions of the rollout's time. A version may
+/// turn bad at any time and under any load, so it gets all requests only near the end. The requests
+/// that it gets before the rollout completes are then about as many as a bad version may get.
 const STEP_STARTS: [f64; 3] = [0.7, 0.76, 0.8];
-/// All requests go to the new version for this part of the time before the order is complete: long enough for answers
-/// to show that it turned bad.
+/// Fraction of the rollout's time for which the new version gets all requests before the rollout
+/// completes. It is long enough for the answers to show that the version turned bad.
 pub const PROVED_FOR: f64 = 0.09;
-/// Servers of other versions should be without requests before they are stopped. An order that waits for that is
-/// complete all the same at this part of its time.
+/// Fraction of the rollout's time after which it no longer waits for requests on servers of other
+/// versions. These servers are stopped on completion and should have no requests in flight by then.
 pub const LAST_CALL: f64 = 0.95;
 
 /// How much of a service's traffic has moved.
@@ -36,16 +37,16 @@
     /// A few requests.
     #[default]
     Canary,
-    /// As many as a bad version may get.
+    /// A larger share, which is still below what a bad version may get.
     Wider,
-    /// A good part.
+    /// A share above what a bad version may get over the whole rollout.
     Most,
-    /// All.
+    /// All requests.
     All,
 }
 
 impl RolloutStep {
-    /// The step that is due `age_ms` after an order that gives `over_ms`.
+    /// The step that is due `age_ms` after the start of a rollout that lasts `over_ms`.
     ///
     /// ```
     /// use ledgespool::rollout::plan::RolloutStep;
@@ -63,7 +64,8 @@
         }
     }
 
-    /// The part of requests that go to the new version; `canary_share` is what a bad one may get.
+    /// The share of requests that go to the new version. `canary_share` is the share that a bad one
+    /// may get over the whole rollout.
     #[must_use]
     pub fn share(self, canary_share: f64) -> f64 {
         match self {
@@ -75,20 +77,20 @@
     }
 }
 
-/// Which versions may get a request.
+/// The versions that may get a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum VersionRule {
-    /// All.
+    /// Any version.
     #[default]
     Any,
-    /// This one.
+    /// Only this version.
     Only(VersionTag),
-    /// All but this one.
+    /// Any version except this one.
     Except(VersionTag),
 }
 
 impl VersionRule {
-    /// Whether servers of a version may get the request.
+    /// Returns whether servers of `version` may get the request.
     ///
     /// ```
     /// use ledgespool::rollout::order::VersionTag;
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -1,74 +1,77 @@
-//! The orders that a host knows, and how far each has come.
+//! The rollouts that a host knows and their progress.
 
 use std::collections;
 
 use super::message::{RolloutAnswer, RolloutChange, RolloutNews, RolloutReport};
-use super::open_rollout::OpenRollout;
 use super::order::{RolloutOrder, RolloutRecord, RolloutState, StoredRollout};
-use super::pace::ReportMark;
 use super::plan::{RolloutStep, VersionRule};
+use super::report_schedule::DecisionInputs;
+use super::tracked_rollout::TrackedRollout;
 use crate::timer::Moment;
 
-/// Servers of other versions stop when an order is complete; for this long, in milliseconds, hosts may still know them.
-/// Afterwards servers of any version that come are good.
-const STOPPING_MS: u64 = 10_000;
+/// Time after completion for which requests still go to the target version only, in milliseconds.
+/// Servers of other versions are stopped on completion, but hosts may still know them for this
+/// long. Servers of any version that join later are allowed.
+const STOP_GRACE_MS: u64 = 10_000;
 
-/// What the host that decides for its region sees beside reports.
+/// What the rollout leader of a region knows in addition to reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RegionView {
-    /// Its own requests that are under way on servers of other versions.
+    /// Number of its own requests in flight on servers of other versions.
     pub others_open: u32,
-    /// Hosts of its region.
+    /// Number of hosts in its region.
     pub hosts: u32,
-    /// Regions of which a host lives, its own included.
+    /// Number of regions with a live host, including its own.
     pub regions: u32,
 }
 
 impl RegionView {
-    /// Requests of the whole region that are under way on servers of other versions.
-    fn others_open(self, open: &OpenRollout, now: Moment) -> u32 {
-        let hosts = open.hosts.present(self.hosts, now);
+    /// Number of requests of the whole region in flight on servers of other versions.
+    fn others_open(self, rollout: &TrackedRollout, now: Moment) -> u32 {
+        let hosts = rollout.host_reports.unexpired(self.hosts, now);
         self.others_open + hosts.map(|host| host.others_open).sum::<u32>()
     }
 }
 
-/// The orders that a host knows, by service.
+/// The rollouts that a host knows, by service.
 #[derive(Debug, Default)]
 pub struct RolloutTable {
     position: u64,
-    orders: collections::BTreeMap<String, OpenRollout>,
+    rollouts: collections::BTreeMap<String, TrackedRollout>,
 }
 
 impl RolloutTable {
-    /// Whether there is no order.
+    /// Returns whether there is no rollout.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.orders.is_empty()
+        self.rollouts.is_empty()
     }
 
-    /// The store's position up to which the orders are current.
+    /// The store revision up to which the rollouts are current.
     #[must_use]
     pub const fn position(&self) -> u64 {
         self.position
     }
 
-    /// Takes over the whole list of the store, or what another host knows of it.
+    /// Replaces the rollouts with a complete list from the store or another host.
     pub fn on_list(&mut self, stored: Vec<(StoredRollout, u64)>, position: u64, now: Moment) {
         let services: collections::BTreeSet<String> = stored
             .iter()
             .map(|(stored, _)| stored.order.service.clone())
             .collect();
-        self.orders.retain(|service, _| services.contains(service));
+        self.rollouts
+            .retain(|service, _| services.contains(service));
         for (stored, revision) in stored {
             self.on_order(stored, revision, now);
         }
         self.position = position;
     }
 
-    /// Takes over one order as the store shows it.
+    /// Applies one rollout as read from the store. It replaces an older rollout of the same
+    /// service.
     pub fn on_order(&mut self, stored: StoredRollout, revision: u64, now: Moment) {
         let service = stored.order.service.clone();
-        if let Some(known) = self.orders.get_mut(&service) {
+        if let Some(known) = self.rollouts.get_mut(&service) {
             if known.order.is_same(&stored.order) {
                 known.revision = known.revision.max(revision);
                 known.on_stored(stored.state, now);
@@ -78,108 +81,113 @@
                 return;
             }
         }
-        let open = OpenRollout::new(stored, revision, now, now);
-        self.orders.insert(service, open);
+        let rollout = TrackedRollout::new(stored, revision, now, now);
+        self.rollouts.insert(service, rollout);
     }
 
-    /// An order is gone from the store.
+    /// Removes a rollout that was deleted from the store.
     pub fn on_gone(&mut self, name: &str) {
-        self.orders.retain(|_, open| open.order.name != name);
+        self.rollouts
+            .retain(|_, rollout| rollout.order.name != name);
     }
 
-    /// The list is current up to here.
+    /// Records the store revision up to which the rollouts are current.
     pub fn on_position(&mut self, position: u64) {
         self.position = self.position.max(position);
     }
 
-    /// All that others must know.
+    /// The state that is sent to other hosts.
     #[must_use]
     pub fn news(&self, now: Moment) -> RolloutNews {
-        let orders = self.orders.values();
+        let rollouts = self.rollouts.values();
         RolloutNews {
             position: self.position,
-            orders: orders.map(|open| open.progress(now)).collect(),
+            orders: rollouts.map(|rollout| rollout.progress(now)).collect(),
         }
     }
 
-    /// Takes in what another host knows; returns whether an order has come further.
+    /// Merges the state of another host; returns whether the number of rollouts has changed or a
+    /// rollout has advanced.
     pub fn on_news(&mut self, news: &RolloutNews, now: Moment) -> bool {
-        let mut is_news = false;
+        let mut has_changed = false;
         if news.position > self.position {
-            let told = news.orders.iter().map(|told| {
+            let received = news.orders.iter().map(|received| {
                 let stored = StoredRollout {
-                    order: told.order.clone(),
+                    order: received.order.clone(),
                     state: None,
                 };
-                (stored, told.revision)
+                (stored, received.revision)
             });
-            let before = self.orders.len();
-            self.on_list(told.collect(), news.position, now);
-            is_news = self.orders.len() != before;
+            let before = self.rollouts.len();
+            self.on_list(received.collect(), news.position, now);
+            has_changed = self.rollouts.len() != before;
         }
-        for told in &news.orders {
-            if let Some(open) = self.orders.get_mut(&told.order.service)
-                && open.order.is_same(&told.order)
+        for received in &news.orders {
+            if let Some(rollout) = self.rollouts.get_mut(&received.order.service)
+                && rollout.order.is_same(&received.order)
             {
-                open.began = open.began.min(now.before(told.age_ms));
-                is_news |= open.advance(told.step, told.state, now);
+                rollout.started_at = rollout.started_at.min(now.before(received.age_ms));
+                has_changed |= rollout.advance(received.step, received.state, now);
             }
         }
-        is_news
+        has_changed
     }
 
-    /// Which versions may get a request of `service`. `point` is a number from 0 up to 1 that stays the same for
-    /// requests about the same object; `is_repeat` tells that a server has failed it.
+    /// Returns the versions that may get a request of `service`. `point` is a number from 0 to 1
+    /// (exclusive) that is the same for all requests for the same object. `is_retry` is set for a
+    /// retry after a server failed the request.
     #[must_use]
     pub fn rule_of(
         &self,
         service: &str,
         point: f64,
         canary_share: f64,
-        is_repeat: bool,
+        is_retry: bool,
         now: Moment,
     ) -> VersionRule {
-        let Some(open) = self.orders.get(service) else {
+        let Some(rollout) = self.rollouts.get(service) else {
             return VersionRule::Any;
         };
-        let target = open.order.target_tag();
-        let is_over = now.since(open.state_since) > STOPPING_MS;
-        if open.state == RolloutState::Complete && is_over {
+        let target = rollout.order.target_tag();
+        let is_over = now.since(rollout.state_since) > STOP_GRACE_MS;
+        if rollout.state == RolloutState::Complete && is_over {
             return VersionRule::Any;
         }
-        let has_moved = open.step == RolloutStep::All;
-        let is_canary = !is_repeat && point < open.step.share(canary_share);
-        let goes_there = match open.state {
+        let has_moved = rollout.step == RolloutStep::All;
+        let is_canary = !is_retry && point < rollout.step.share(canary_share);
+        let uses_target = match rollout.state {
             RolloutState::Running => has_moved || is_canary,
             RolloutState::Complete => true,
             RolloutState::Reverted => false,
         };
-        if goes_there {
+        if uses_target {
             VersionRule::Only(target)
         } else {
             VersionRule::Except(target)
         }
     }
 
-    /// A request of `service` has ended on a server.
+    /// Counts the result of a request of `service`.
     pub fn on_answer(&mut self, service: &str, answer: &RolloutAnswer<'_>) {
-        if let Some(open) = self.orders.get_mut(service)
-            && open.state == RolloutState::Running
+        if let Some(rollout) = self.rollouts.get_mut(service)
+            && rollout.state == RolloutState::Running
         {
-            let is_target = answer.version == open.order.target_tag();
-            open.own.on_answer(answer.route, is_target, answer.is_bad);
+            let is_target = answer.version == rollout.order.target_tag();
+            rollout
+                .own_tally
+                .on_answer(answer.route, is_target, answer.is_bad);
         }
     }
 
-    /// The orders whose traffic is being moved.
+    /// The rollouts that are in progress.
     pub fn running(&self) -> impl Iterator<Item = &RolloutOrder> {
-        let running = self.orders.values();
-        let running = running.filter(|open| open.state == RolloutState::Running);
-        running.map(|open| &open.order)
+        let running = self.rollouts.values();
+        let running = running.filter(|rollout| rollout.state == RolloutState::Running);
+        running.map(|rollout| &rollout.order)
     }
 
-    /// What this host has counted since an order, for the host that decides; `None` while no report is due. `hosts`
-    /// report in this region.
+    /// The counts of this host for the region's rollout leader; `None` if no report is due. `hosts`
+    /// is the number of hosts in the region.
     #[must_use]
     pub fn own_report(
         &mut self,
@@ -189,26 +197,26 @@
         hosts: u32,
         now: Moment,
     ) -> Option<RolloutReport> {
-        let open = self.orders.get_mut(service)?;
-        let mark = ReportMark {
-            target_bad: open.own.target_bad(),
+        let rollout = self.rollouts.get_mut(service)?;
+        let inputs = DecisionInputs {
+            target_bad: rollout.own_tally.target_bad(),
             others_open,
-            step: open.step,
+            step: rollout.step,
         };
-        if !open.own_pace.take_due(source, mark, hosts, now) {
+        if !rollout.own_schedule.take_due(source, inputs, hosts, now) {
             return None;
         }
         Some(RolloutReport {
             source,
             service: service.to_owned(),
-            created: open.order.created,
-            tally: open.own.for_report(),
+            created: rollout.order.created,
+            tally: rollout.own_tally.for_report(),
             others_open,
-            step: open.step,
+            step: rollout.step,
         })
     }
 
-    /// What the hosts of this region have counted together, for the other regions.
+    /// The sum of the counts of this region's hosts, for the other regions.
     #[must_use]
     pub fn region_report(
         &self,
@@ -217,80 +225,84 @@
         view: RegionView,
         now: Moment,
     ) -> Option<RolloutReport> {
-        let open = self.orders.get(service)?;
-        let mut tally = open.hosts.tally();
-        tally.add(&open.own);
+        let rollout = self.rollouts.get(service)?;
+        let mut tally = rollout.host_reports.tally();
+        tally.add(&rollout.own_tally);
         Some(RolloutReport {
             source,
             service: service.to_owned(),
-            created: open.order.created,
+            created: rollout.order.created,
             tally: tally.for_report(),
-            others_open: view.others_open(open, now),
-            step: open.step,
+            others_open: view.others_open(rollout, now),
+            step: rollout.step,
         })
     }
 
-    /// A host of this region has reported.
+    /// Stores the report of a host in this region.
     pub fn on_host_report(&mut self, report: RolloutReport, now: Moment) {
-        if let Some(open) = self.open_of(&report) {
-            open.hosts.put(report, now);
+        if let Some(rollout) = self.rollout_of(&report) {
+            rollout.host_reports.insert(report, now);
         }
     }
 
-    /// Another region has reported.
+    /// Stores the report of another region.
     pub fn on_region_report(&mut self, report: RolloutReport, now: Moment) {
-        if let Some(open) = self.open_of(&report) {
-            open.regions.put(report, now);
+        if let Some(rollout) = self.rollout_of(&report) {
+            rollout.region_reports.insert(report, now);
         }
     }
 
-    fn open_of(&mut self, report: &RolloutReport) -> Option<&mut OpenRollout> {
-        let open = self.orders.get_mut(&report.service)?;
-        (open.order.created == report.created).then_some(open)
+    fn rollout_of(&mut self, report: &RolloutReport) -> Option<&mut TrackedRollout> {
+        let rollout = self.rollouts.get_mut(&report.service)?;
+        (rollout.order.created == report.created).then_some(rollout)
     }
 
-    /// Decides on an order, on the host that decides for its region; `None` if nothing changes.
+    /// Decides on a rollout as the leader of the region; `None` if nothing changes.
     pub fn decide(
         &mut self,
         service: &str,
         view: RegionView,
         now: Moment,
     ) -> Option<RolloutChange> {
-        let open = self.orders.get_mut(service)?;
-        if open.state != RolloutState::Running {
+        let rollout = self.rollouts.get_mut(service)?;
+        if rollout.state != RolloutState::Running {
             return None;
         }
-        let state = open.judge(view.others_open(open, now), view.regions, now);
-        let step = RolloutStep::due(now.since(open.began), open.order.over_ms);
-        open.advance(step, state, now).then(|| RolloutChange {
-            order: open.order.clone(),
-            step: open.step,
-            state: open.state,
+        let state = rollout.evaluate(view.others_open(rollout, now), view.regions, now);
+        let step = RolloutStep::due(now.since(rollout.started_at), rollout.order.over_ms);
+        rollout.advance(step, state, now).then(|| RolloutChange {
+            order: rollout.order.clone(),
+            step: rollout.step,
+            state: rollout.state,
         })
     }
 
-    /// The states that the store lacks and that were known for `wait_ms`.
+    /// The states that are not recorded in the store yet and have been known for at least
+    /// `wait_ms`.
     #[must_use]
     pub fn unrecorded(&self, wait_ms: u64, now: Moment) -> Vec<RolloutRecord> {
-        let open = self.orders.values().filter(|open| {
-            let is_due = open.stored.is_none_or(|stored| stored < open.state);
-            is_due && now.since(open.state_since) >= wait_ms
+        let unrecorded = self.rollouts.values().filter(|rollout| {
+            let is_due = rollout
+                .stored_state
+                .is_none_or(|stored| stored < rollout.state);
+            is_due && now.since(rollout.state_since) >= wait_ms
         });
-        open.map(|open| RolloutRecord {
-            order: open.order.clone(),
-            state: open.state,
-            revision: open.revision,
-        })
-        .collect()
+        unrecorded
+            .map(|rollout| RolloutRecord {
+                order: rollout.order.clone(),
+                state: rollout.state,
+                revision: rollout.revision,
+            })
+            .collect()
     }
 
-    /// A state was recorded; the object stands at `revision` now.
+    /// Notes that a state was recorded, which changed the object's store revision to `revision`.
     pub fn on_recorded(&mut self, record: &RolloutRecord, revision: u64, now: Moment) {
-        if let Some(open) = self.orders.get_mut(&record.order.service)
-            && open.order.is_same(&record.order)
+        if let Some(rollout) = self.rollouts.get_mut(&record.order.service)
+            && rollout.order.is_same(&record.order)
         {
-            open.on_stored(Some(record.state), now);
-            open.revision = open.revision.max(revision);
+            rollout.on_stored(Some(record.state), now);
+            rollout.revision = rollout.revision.max(revision);
         }
     }
 }
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -1,22 +1,24 @@
-//! How the requests of a service ended on a new version and on the others, and what that says of it.
+//! Counts the results of a service's requests on the new version and on others, and compares them
+//! to decide whether the new version is bad.
 
 use std::collections;
 
-/// Routes that a report tells of, at most; it has to fit into one datagram.
+/// Maximum number of routes in a report, which has to fit into one datagram.
 pub const REPORTED_ROUTES: usize = 16;
-/// Bad answers below which nothing is said of a version.
-const LEAST_BAD: u32 = 8;
-/// A version is bad if the part of its bad answers is this many times that of the others...
-const BAD_FACTOR: f64 = 2.0;
-/// ...and this part beyond.
-const BAD_EXCESS: f64 = 0.05;
+/// Minimum number of bad answers before a version is considered bad.
+const MIN_BAD_ANSWERS: u32 = 8;
+/// A version is bad if its share of bad answers exceeds that of the other versions times this
+/// factor plus [`BAD_SHARE_EXCESS`].
+const BAD_SHARE_FACTOR: f64 = 2.0;
+/// Absolute share of bad answers that is tolerated in addition to [`BAD_SHARE_FACTOR`].
+const BAD_SHARE_EXCESS: f64 = 0.05;
 
-/// Requests that have ended.
+/// Counts of finished requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct AnswerCount {
-    /// All of them.
+    /// Number of finished requests.
     pub ended: u32,
-    /// Those that failed, or took several times as long as usual.
+    /// Number of those that failed or took several times as long as expected.
     pub bad: u32,
 }
 
@@ -26,25 +28,25 @@
         self.bad = self.bad.saturating_add(other.bad);
     }
 
-    fn bad_part(self) -> f64 {
+    fn bad_share(self) -> f64 {
         f64::from(self.bad) / f64::from(self.ended.max(1))
     }
 }
 
-/// The requests of one route since its order.
+/// The counts of one route since the start of the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct RouteTally {
-    /// Those on servers of the new version.
+    /// Requests on servers of the new version.
     pub target: AnswerCount,
-    /// Those on servers of other versions.
+    /// Requests on servers of other versions.
     pub others: AnswerCount,
 }
 
 impl RouteTally {
-    /// Whether the new version is worse than the others, beyond what chance makes likely.
+    /// Returns whether the new version is worse than the others by more than chance explains.
     fn is_bad(&self) -> bool {
-        let accepted = self.others.bad_part() * BAD_FACTOR + BAD_EXCESS;
-        self.target.bad >= LEAST_BAD && self.target.bad_part() > accepted
+        let tolerated = self.others.bad_share() * BAD_SHARE_FACTOR + BAD_SHARE_EXCESS;
+        self.target.bad >= MIN_BAD_ANSWERS && self.target.bad_share() > tolerated
     }
 
     fn add(&mut self, other: &Self) {
@@ -53,14 +55,14 @@
     }
 }
 
-/// The requests of a service since an order, by routes.
+/// The counts of a service since the start of a rollout, by route.
 #[derive(Debug, Clone, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct ServiceTally {
     routes: collections::BTreeMap<String, RouteTally>,
 }
 
 impl ServiceTally {
-    /// A request has ended on a server of the new version, or of another one.
+    /// Counts a finished request.
     pub fn on_answer(&mut self, route: &str, is_target: bool, is_bad: bool) {
         if !self.routes.contains_key(route) {
             self.routes.insert(route.to_owned(), RouteTally::default());
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Adds what others count.
+    /// Adds the counts of another source.
     pub fn add(&mut self, other: &Self) {
         for (route, tally) in &other.routes {
             match self.routes.get_mut(route) {
@@ -90,14 +92,14 @@
         }
     }
 
-    /// Bad answers of the new version.
+    /// Number of bad answers of the new version.
     #[must_use]
     pub fn target_bad(&self) -> u32 {
         let routes = self.routes.values();
         routes.map(|tally| tally.target.bad).sum()
     }
 
-    /// Whether the new version is bad, on all routes together or on one.
+    /// Returns whether the new version is bad, over all routes together or on a single one.
     ///
     /// ```
     /// use ledgespool::rollout::tally::ServiceTally;
@@ -117,7 +119,8 @@
         all.is_bad() || self.routes.values().any(RouteTally::is_bad)
     }
 
-    /// The same for a report: the routes on which the new version has the most bad answers.
+    /// Returns the counts to put into a report. If there are more than [`REPORTED_ROUTES`] routes,
+    /// it keeps those on which the new version has the most bad answers.
     #[must_use]
     pub fn for_report(&self) -> Self {
         if self.routes.len() <= REPORTED_ROUTES {
