--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from servers because servers ended under them.
+//! When requests that crash servers are blocked, probed and cleared, and how hosts agree on it.
 
 #[path = "common/peer_records.rs"]
 mod peer_records;
@@ -20,105 +20,108 @@
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
-const DEADLY: RequestFingerprint = RequestFingerprint(0xdead);
+const CRASHING: RequestFingerprint = RequestFingerprint(0xdead);
 const OTHER: RequestFingerprint = RequestFingerprint(0xbeef);
 const START: Moment = Moment(1_000_000);
 
-fn after_ends(servers: &[u64]) -> QuarantineTable {
+fn table_after_crashes(servers: &[u64]) -> QuarantineTable {
     let mut table = QuarantineTable::default();
     for server in servers {
-        table.on_ended(DEADLY, *server, START);
+        table.on_ended(CRASHING, *server, START);
     }
     table
 }
 
 #[test]
-fn the_third_server_bars_a_request_and_no_other() {
-    let mut table = after_ends(&[1]);
-    assert_eq!(table.state_of(DEADLY), Some(SuspectState::Counted));
+fn third_crashed_server_blocks_only_that_request() {
+    let mut table = table_after_crashes(&[1]);
+    assert_eq!(table.state_of(CRASHING), Some(SuspectState::Counted));
     assert!(!table.has_told() && table.records(START).is_empty());
-    let told = table.on_ended(DEADLY, 2, START);
-    assert!(matches!(told, SuspectChange::Tell(record) if record.ended == [1, 2]));
-    assert_eq!(table.state_of(DEADLY), Some(SuspectState::Known));
-    // Word of the same end by another host.
-    assert_eq!(table.on_ended(DEADLY, 2, START), SuspectChange::None);
-    assert!(!table.is_barred(DEADLY));
-    table.on_ended(DEADLY, 3, START);
-    assert!(table.is_barred(DEADLY) && !table.is_barred(OTHER));
-    assert_eq!(table.on_ended(DEADLY, 4, START), SuspectChange::None);
+    let change = table.on_ended(CRASHING, 2, START);
+    assert!(matches!(change, SuspectChange::Tell(record) if record.ended == [1, 2]));
+    assert_eq!(table.state_of(CRASHING), Some(SuspectState::Known));
+    // Another host reports the same crash.
+    assert_eq!(table.on_ended(CRASHING, 2, START), SuspectChange::None);
+    assert!(!table.is_barred(CRASHING));
+    table.on_ended(CRASHING, 3, START);
+    assert!(table.is_barred(CRASHING) && !table.is_barred(OTHER));
+    assert_eq!(table.on_ended(CRASHING, 4, START), SuspectChange::None);
 }
 
-/// A request that was beside the one that ended the servers must not stay barred.
+/// A bystander of the request that crashed the servers must not stay blocked.
 #[test]
-fn a_success_clears_a_request_and_late_word_of_ends_before_it_changes_nothing() {
-    let mut table = after_ends(&[1, 2, 3]);
-    let change = table.on_success(DEADLY, START);
+fn success_clears_a_request_and_overrides_late_crash_reports() {
+    let mut table = table_after_crashes(&[1, 2, 3]);
+    let change = table.on_success(CRASHING, START);
     assert!(matches!(change, SuspectChange::Tell(record) if record.cleared));
-    table.on_ended(DEADLY, 4, START);
-    assert!(!table.is_barred(DEADLY));
+    table.on_ended(CRASHING, 4, START);
+    assert!(!table.is_barred(CRASHING));
     let now = START.plus(CLEARED_LIFE_MS);
     table.on_tick(now);
-    assert_eq!(table.state_of(DEADLY), None, "what comes now is new");
+    assert_eq!(table.state_of(CRASHING), None, "the success has expired");
     for server in 5..8 {
-        table.on_ended(DEADLY, server, now);
+        table.on_ended(CRASHING, server, now);
     }
-    assert!(table.is_barred(DEADLY));
+    assert!(table.is_barred(CRASHING));
 }
 
 #[test]
-fn a_success_clears_what_only_this_host_counts_without_a_word() {
-    let mut table = after_ends(&[1]);
-    assert_eq!(table.on_success(DEADLY, START), SuspectChange::None);
-    assert_eq!(table.state_of(DEADLY), None);
+fn success_clears_an_unannounced_suspect_without_a_message() {
+    let mut table = table_after_crashes(&[1]);
+    assert_eq!(table.on_success(CRASHING, START), SuspectChange::None);
+    assert_eq!(table.state_of(CRASHING), None);
 }
 
 #[test]
-fn a_barred_request_is_remembered_for_as_long_as_it_comes() {
-    let mut table = after_ends(&[1, 2, 3]);
+fn blocked_request_does_not_expire_while_it_is_repeated() {
+    let mut table = table_after_crashes(&[1, 2, 3]);
     let late = START.plus(SUSPECT_LIFE_MS - 1);
-    table.on_refused(DEADLY, late);
+    table.on_refused(CRASHING, late);
     table.on_tick(late.plus(SUSPECT_LIFE_MS - 1));
-    assert!(table.is_barred(DEADLY));
+    assert!(table.is_barred(CRASHING));
     table.on_tick(late.plus(SUSPECT_LIFE_MS));
-    assert!(!table.is_barred(DEADLY) && !table.has_told());
+    assert!(!table.is_barred(CRASHING) && !table.has_told());
 }
 
 #[test]
-fn suspects_of_one_host_never_crowd_out_those_that_all_know() {
-    let mut table = after_ends(&[1, 2, 3]);
+fn unannounced_suspects_never_evict_announced_ones() {
+    let mut table = table_after_crashes(&[1, 2, 3]);
     for request in 1..=2 * MAX_SUSPECTS as u64 {
         table.on_ended(RequestFingerprint(request << 16), 1, START.plus(request));
     }
-    assert!(table.is_barred(DEADLY));
+    assert!(table.is_barred(CRASHING));
     assert_eq!(table.records(START).len(), 1);
 }
 
-/// One that was barred when a hall was lost under it is cleared by its first trial; one that ends servers reaches
-/// ever fewer.
+/// The first probe clears a request that was blocked because a hall was lost while processing it. A
+/// request that does crash servers reaches fewer and fewer of them.
 #[test]
-fn a_barred_request_is_tried_on_one_server_and_then_ever_more_seldom() {
-    let mut table = after_ends(&[1, 2, 3]);
+fn blocked_request_is_probed_at_growing_intervals() {
+    let mut table = table_after_crashes(&[1, 2, 3]);
     let first = START.plus(FIRST_TRIAL_MS);
-    assert_eq!(table.try_barred(DEADLY, first.before(1)), None);
-    let trial = table.try_barred(DEADLY, first).expect("a trial is due");
-    assert_eq!(trial.trials, 1);
-    assert!(table.is_barred(DEADLY), "others are kept back meanwhile");
-    let mut other = after_ends(&[1, 2, 3]);
-    other.on_told(&trial, first);
+    assert_eq!(table.try_barred(CRASHING, first.before(1)), None);
+    let probe = table.try_barred(CRASHING, first).expect("a probe is due");
+    assert_eq!(probe.trials, 1);
+    assert!(
+        table.is_barred(CRASHING),
+        "it stays blocked during the probe"
+    );
+    let mut other = table_after_crashes(&[1, 2, 3]);
+    other.on_told(&probe, first);
     assert_eq!(other.digest(), table.digest());
     let second = first.plus(FIRST_TRIAL_MS * TRIAL_FACTOR);
     for host in [&mut table, &mut other] {
-        assert_eq!(host.try_barred(DEADLY, second.before(1)), None);
-        assert!(host.try_barred(DEADLY, second).is_some());
+        assert_eq!(host.try_barred(CRASHING, second.before(1)), None);
+        assert!(host.try_barred(CRASHING, second).is_some());
     }
-    assert_eq!(table.try_barred(OTHER, second), None, "it is no suspect");
+    assert_eq!(table.try_barred(OTHER, second), None, "it is not a suspect");
 }
 
-/// A host that wakes with what it knew before must not bring it to life again among the others.
-/// Seen as 13,267 refusals of an ordinary look-up that was at hand when servers ended under two others.
+/// An ordinary look-up that was in flight when two other requests crashed servers was blocked with
+/// them and refused 13,267 times.
 #[test]
-fn a_request_that_stood_beside_one_that_ends_servers_is_tried_soon() {
-    let mut table = after_ends(&[1, 2, 3]);
+fn bystander_is_probed_early() {
+    let mut table = table_after_crashes(&[1, 2, 3]);
     for server in [2, 3, 4] {
         table.on_ended(OTHER, server, START);
     }
@@ -131,26 +134,26 @@
     assert!(table.try_barred(OTHER, soon).is_some());
     table.on_success(OTHER, soon);
     assert!(!table.is_barred(OTHER));
-    // The other one stands alone now.
-    assert_eq!(table.try_barred(DEADLY, soon.plus(1)), None);
+    // The other request no longer shares a crashed server with a blocked one.
+    assert_eq!(table.try_barred(CRASHING, soon.plus(1)), None);
 }
 
 #[test]
-fn a_request_that_ends_servers_is_tried_no_more_than_three_times_in_an_hour_whatever_stands_beside_it()
- {
-    let mut table = after_ends(&[1, 2, 3]);
+fn crashing_request_gets_at_most_three_probes_per_hour_with_a_bystander() {
+    let mut table = table_after_crashes(&[1, 2, 3]);
     for server in [1, 2, 3] {
         table.on_ended(OTHER, server, START);
     }
     let seconds = (0..3_600).map(|second| START.plus(second * 1_000));
-    let trials = seconds.filter(|now| table.try_barred(DEADLY, *now).is_some());
+    let trials = seconds.filter(|now| table.try_barred(CRASHING, *now).is_some());
     assert_eq!(trials.count(), 3);
 }
 
+/// A host that resumes after a suspension must not spread expired records to the others.
 #[test]
-fn a_record_that_is_old_is_not_taken_over() {
+fn expired_record_is_not_merged() {
     let record = SuspectRecord {
-        fingerprint: DEADLY,
+        fingerprint: CRASHING,
         ended: vec![1, 2, 3],
         cleared: false,
         trials: 0,
@@ -161,7 +164,7 @@
     assert!(!table.has_told());
 }
 
-/// What may be told of a request: by ends of some of few servers, or by a success.
+/// Records of crashes or successes of a few requests and servers.
 fn some_records() -> impl Strategy<Value = Vec<SuspectRecord>> {
     let record = (
         0_u64..4,
@@ -185,9 +188,9 @@
 proptest! {
     #![proptest_config(seeded::config())]
 
-    /// Word reaches hosts in any order, twice or through others.
+    /// Records reach hosts in any order, more than once or through other hosts.
     #[test]
-    fn hosts_that_were_told_the_same_agree(
+    fn hosts_with_the_same_records_agree(
         records in some_records(),
         mixed in some_records().prop_shuffle(),
         shuffled in Just(()).prop_perturb(|(), mut random| random.random::<u64>()),
@@ -212,9 +215,10 @@
         }
     }
 
-    /// A host that lacks something sees it by the digest, takes the other's records over, and then agrees.
+    /// A host detects by the digest that it is missing records, fetches the other's, and then
+    /// agrees.
     #[test]
-    fn two_hosts_agree_after_those_that_may_lack_something_have_asked(
+    fn hosts_agree_after_fetching_missing_records(
         left in some_records(),
         right in some_records(),
     ) {
@@ -224,12 +228,12 @@
                 host.on_told(record, START);
             }
         }
-        // Two heartbeats each way: who knows less asks first.
+        // Two heartbeats in each direction: the host with fewer records fetches first.
         for _ in 0..2 {
-            for (asker, other) in [(0, 1), (1, 0)] {
-                if hosts[asker].digest().may_lack(&hosts[other].digest()) {
+            for (requester, other) in [(0, 1), (1, 0)] {
+                if hosts[requester].digest().may_lack(&hosts[other].digest()) {
                     for record in hosts[other].records(START) {
-                        hosts[asker].on_told(&record, START);
+                        hosts[requester].on_told(&record, START);
                     }
                 }
             }
@@ -238,7 +242,7 @@
     }
 }
 
-/// Sixty hosts in three regions, each on a port of its own.
+/// Sixty hosts in three regions, each with its own port.
 fn many_hosts() -> Vec<HostRecord> {
     let hosts = (0..60_u16).map(|number| {
         let region = ["one", "two", "three"][usize::from(number) % 3];
@@ -259,44 +263,46 @@
     peers
 }
 
-/// Ends that different hosts see come together at the same few, wherever the request arrives.
+/// Crashes that different hosts observe are counted by the same few hosts, wherever the request
+/// arrives.
 #[test]
-fn all_hosts_name_the_same_keepers_of_a_request() {
+fn all_hosts_choose_the_same_trackers_of_a_request() {
     let all = many_hosts();
     for request in 0..20 {
         let request = RequestFingerprint(request);
-        let mut named = BTreeSet::new();
+        let mut listed = BTreeSet::new();
         let mut first = Vec::new();
         for own in &all {
             let peers = table_without(own, &all, START);
-            let keepers = peers.suspect_keepers(request, KEEPERS, START);
-            assert_eq!(keepers.len(), KEEPERS);
-            // A keeper counts itself and names the next one in its place.
-            named.extend(keepers);
+            let trackers = peers.suspect_keepers(request, KEEPERS, START);
+            assert_eq!(trackers.len(), KEEPERS);
+            // A tracker does not list itself, but the next host instead.
+            listed.extend(trackers);
             first.extend(peers.is_first_keeper(own, request, START).then_some(own));
         }
-        assert!(named.len() <= KEEPERS + 1, "{named:?}");
-        assert_eq!(first.len(), 1, "one host takes the trials");
-        assert!(named.contains(&first[0].heartbeat_address));
+        assert!(listed.len() <= KEEPERS + 1, "{listed:?}");
+        assert_eq!(first.len(), 1, "exactly one host sends the probes");
+        assert!(listed.contains(&first[0].heartbeat_address));
     }
 }
 
 #[test]
-fn a_host_that_is_silent_counts_no_ends() {
+fn silent_host_is_no_tracker() {
     let all = many_hosts();
     let peers = table_without(&all[0], &all, START);
     let long_after = START.plus(60_000);
     assert!(
         peers
-            .suspect_keepers(DEADLY, KEEPERS, long_after)
+            .suspect_keepers(CRASHING, KEEPERS, long_after)
             .is_empty()
     );
-    assert!(peers.is_first_keeper(&all[0], DEADLY, long_after));
+    assert!(peers.is_first_keeper(&all[0], CRASHING, long_after));
 }
 
-/// A whole hall may end at once; a datagram that does not fit into a frame is lost more often, and a larger one whole.
+/// A whole hall may crash at once. A datagram larger than a frame is fragmented, and losing any
+/// fragment loses all of it.
 #[test]
-fn the_largest_datagrams_fit_into_a_frame() {
+fn largest_datagrams_fit_into_a_frame() {
     const FRAME_BYTES: usize = 1_400;
     let record = SuspectRecord {
         fingerprint: RequestFingerprint(u64::MAX),
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! How traffic moves to another version, and when it is taken back: decisions of three regions under simulated time.
+//! Simulates rollouts in three regions: how traffic moves to another version, and when it is
+//! reverted.
 
 use ledgespool::entry::hash;
 use ledgespool::rollout::message::RolloutAnswer;
@@ -9,16 +10,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-/// What a bad version may get of all requests while traffic is moved to it.
+/// Share of all requests that a bad version may get during a rollout.
 const CANARY_SHARE: f64 = 0.1;
-/// And this many requests beside.
+/// Number of requests that it may get in addition.
 const CANARY_SLACK: f64 = 50.0;
-/// The time of an order, in milliseconds.
-const OVER_MS: u64 = 12_000;
-/// How long a request takes, in milliseconds.
-const WORK_MS: u64 = 800;
-/// How often hosts report, in milliseconds.
-const REPORT_MS: u64 = 200;
+/// Duration of a rollout, in milliseconds.
+const ROLLOUT_MS: u64 = 12_000;
+/// Duration of a request, in milliseconds.
+const REQUEST_DURATION_MS: u64 = 800;
+/// Interval at which hosts exchange reports, in milliseconds.
+const EXCHANGE_INTERVAL_MS: u64 = 200;
 const REGIONS: u64 = 3;
 const ROUTES: [&str; 4] = ["a", "b", "c", "d"];
 
@@ -28,7 +29,7 @@
             name: "desk".to_owned(),
             service: "desk".to_owned(),
             target: "v2".to_owned(),
-            over_ms: OVER_MS,
+            over_ms: ROLLOUT_MS,
             created: 7,
         },
         state,
@@ -39,32 +40,32 @@
     VersionTag::of_name(name)
 }
 
-/// How the new version behaves.
+/// The behavior of the new version.
 #[derive(Debug, Clone, Copy)]
 struct NewVersion {
-    /// The part of its answers that are bad, from `bad_from_ms` on.
-    bad_part: f64,
+    /// Share of its answers that are bad from `bad_from_ms` on.
+    bad_share: f64,
     bad_from_ms: u64,
-    /// Only requests of the first of four routes are.
+    /// Whether only answers of the first of the four routes are bad.
     on_one_route: bool,
-    /// The part of answers of any version that are bad.
+    /// Share of bad answers of every version.
     noise: f64,
 }
 
-/// What came of an order.
+/// The outcome of a simulated rollout.
 #[derive(Debug)]
 struct Outcome {
     state: RolloutState,
-    /// When all regions had it, in milliseconds.
+    /// When all regions had reached the state, in milliseconds.
     at_ms: u64,
-    /// Requests that the new version got while it may not be good.
+    /// Requests that the new version got before the final state.
     exposed: usize,
     requests: usize,
-    /// Reports that the host which decides for the first region got.
+    /// Reports that the leader of the first region received.
     reports: usize,
 }
 
-/// A request that a server works on.
+/// A request in flight on a server.
 #[derive(Debug, Clone, Copy)]
 struct OpenRequest {
     ends_ms: u64,
@@ -75,52 +76,53 @@
     is_bad: bool,
 }
 
-/// Three regions, each with a third of 600 requests a second. The first host of each decides for it.
-struct RolloutPlay {
+/// Three regions, each with a third of 600 requests per second. The first host of each region is
+/// its rollout leader.
+struct Simulation {
     new: NewVersion,
     random: SmallRng,
-    /// By region, then by host.
+    /// Indexed by region, then by host.
     tables: Vec<Vec<RolloutTable>>,
     open: Vec<OpenRequest>,
     outcome: Outcome,
 }
 
-fn play(new: NewVersion, seed: u64) -> Outcome {
-    play_with_hosts(new, 1, seed)
+fn simulate(new: NewVersion, seed: u64) -> Outcome {
+    simulate_with_hosts(new, 1, seed)
 }
 
-fn play_with_hosts(new: NewVersion, hosts: usize, seed: u64) -> Outcome {
+fn simulate_with_hosts(new: NewVersion, hosts: usize, seed: u64) -> Outcome {
     const STEP_MS: usize = 5;
-    let mut play = RolloutPlay::start(new, hosts, seed);
-    for now_ms in (0..OVER_MS).step_by(STEP_MS) {
-        for region in 0..play.tables.len() {
-            play.send(region, now_ms);
+    let mut simulation = Simulation::start(new, hosts, seed);
+    for now_ms in (0..ROLLOUT_MS).step_by(STEP_MS) {
+        for region in 0..simulation.tables.len() {
+            simulation.send(region, now_ms);
         }
-        play.answer(now_ms);
-        if now_ms % REPORT_MS == 0 {
-            play.exchange(Moment(now_ms));
+        simulation.answer(now_ms);
+        if now_ms % EXCHANGE_INTERVAL_MS == 0 {
+            simulation.exchange(Moment(now_ms));
         }
-        if let Some(state) = play.final_state(Moment(now_ms)) {
-            play.outcome.state = state;
-            play.outcome.at_ms = now_ms;
+        if let Some(state) = simulation.final_state(Moment(now_ms)) {
+            simulation.outcome.state = state;
+            simulation.outcome.at_ms = now_ms;
             break;
         }
     }
-    play.outcome
+    simulation.outcome
 }
 
-impl RolloutPlay {
+impl Simulation {
     fn start(new: NewVersion, hosts: usize, seed: u64) -> Self {
-        let start_table = |_| {
+        let new_table = |_| {
             let mut table = RolloutTable::default();
             table.on_list(vec![(stored(None), 8)], 8, Moment(0));
             table
         };
-        let start_region = |_| (0..hosts).map(start_table).collect();
+        let new_region = |_| (0..hosts).map(new_table).collect();
         Self {
             new,
             random: SmallRng::seed_from_u64(seed),
-            tables: (0..REGIONS).map(start_region).collect(),
+            tables: (0..REGIONS).map(new_region).collect(),
             open: Vec::new(),
             outcome: Outcome {
                 state: RolloutState::Running,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A caller of a region asks one of its hosts.
+    /// Sends a request through a random host of a region.
     fn send(&mut self, region: usize, now_ms: u64) {
         let route = ROUTES[self.random.random_range(0..ROUTES.len())];
         let host = self.random.random_range(0..self.tables[region].len());
@@ -143,24 +145,24 @@
         let may_be_bad = is_new
             && now_ms >= self.new.bad_from_ms
             && (!self.new.on_one_route || route == ROUTES[0]);
-        let bad_part = if may_be_bad {
-            self.new.bad_part.max(self.new.noise)
+        let bad_share = if may_be_bad {
+            self.new.bad_share.max(self.new.noise)
         } else {
             self.new.noise
         };
         self.outcome.requests += 1;
         self.outcome.exposed += usize::from(is_new);
         self.open.push(OpenRequest {
-            ends_ms: now_ms + WORK_MS,
+            ends_ms: now_ms + REQUEST_DURATION_MS,
             region,
             host,
             route,
             is_new,
-            is_bad: self.random.random_bool(bad_part),
+            is_bad: self.random.random_bool(bad_share),
         });
     }
 
-    /// Servers answer what they have worked on for long enough.
+    /// Answers the requests that are due.
     fn answer(&mut self, now_ms: u64) {
         let (ended, open): (Vec<_>, Vec<_>) = self
             .open
@@ -177,14 +179,15 @@
         }
     }
 
-    /// The requests of a host that are under way on the former version.
+    /// Number of requests of a host in flight on the old version.
     fn others_open(&self, region: usize, host: usize) -> u32 {
         let own = self.open.iter();
         let own = own.filter(|open| (open.region, open.host) == (region, host) && !open.is_new);
         u32::try_from(own.count()).expect("a few")
     }
 
-    /// Hosts report, each region decides, and tells its hosts and the other regions what it counts and knows.
+    /// Hosts report, and each region's leader decides and sends its state to its hosts and its
+    /// state and counts to the other leaders.
     fn exchange(&mut self, now: Moment) {
         let regions = self.tables.len();
         for region in 0..regions {
@@ -194,10 +197,10 @@
                 hosts: u32::try_from(self.tables[region].len()).expect("some hundred"),
                 regions: u32::try_from(regions).expect("a few"),
             };
-            let decider = &mut self.tables[region][0];
-            let _change = decider.decide("desk", view, now);
-            let report = decider.region_report("desk", region as u64, view, now);
-            let news = decider.news(now);
+            let leader = &mut self.tables[region][0];
+            let _change = leader.decide("desk", view, now);
+            let report = leader.region_report("desk", region as u64, view, now);
+            let news = leader.news(now);
             for (other, tables) in self.tables.iter_mut().enumerate() {
                 if other != region {
                     tables[0].on_region_report(report.clone().expect("an order"), now);
@@ -229,7 +232,7 @@
         }
     }
 
-    /// What all regions hold for decided.
+    /// The final state, once all regions have reached it.
     fn final_state(&self, now: Moment) -> Option<RolloutState> {
         let states = self.tables.iter();
         let mut states = states.map(|tables| tables[0].news(now).orders[0].state);
@@ -239,41 +242,41 @@
 }
 
 const GOOD: NewVersion = NewVersion {
-    bad_part: 0.0,
+    bad_share: 0.0,
     bad_from_ms: 0,
     on_one_route: false,
     noise: 0.0,
 };
 
 #[test]
-fn a_good_version_gets_all_requests_well_before_the_time_is_over() {
+fn good_version_completes_well_before_the_deadline() {
     for seed in 0..20 {
-        let outcome = play(GOOD, seed);
+        let outcome = simulate(GOOD, seed);
         assert_eq!(outcome.state, RolloutState::Complete, "seed {seed}");
         assert!(
-            outcome.at_ms < OVER_MS * 19 / 20,
+            outcome.at_ms < ROLLOUT_MS * 19 / 20,
             "seed {seed}: {outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_bad_version_is_given_up_within_what_it_may_get() {
-    let allowed = CANARY_SHARE * (OVER_MS / 5 * REGIONS) as f64 + CANARY_SLACK;
-    for (bad_part, bad_from_ms, on_one_route) in [
+fn bad_version_is_reverted_within_the_canary_share() {
+    let allowed = CANARY_SHARE * (ROLLOUT_MS / 5 * REGIONS) as f64 + CANARY_SLACK;
+    for (bad_share, bad_from_ms, on_one_route) in [
         (0.3, 0, false),
         (1.0, 0, false),
         (0.6, 0, true),
         (0.5, 3_000, false),
     ] {
         let new = NewVersion {
-            bad_part,
+            bad_share,
             bad_from_ms,
             on_one_route,
             noise: 0.0,
         };
         for seed in 0..20 {
-            let outcome = play(new, seed);
+            let outcome = simulate(new, seed);
             assert_eq!(outcome.state, RolloutState::Reverted, "{new:?} seed {seed}");
             let exposed = outcome.exposed as f64;
             assert!(exposed <= allowed, "{new:?} seed {seed}: {outcome:?}");
@@ -282,17 +285,17 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_under_all_requests_is_given_up_within_what_it_may_get() {
-    // Half of its answers are bad once more than half of the traffic is there.
+fn version_that_turns_bad_under_full_load_is_reverted_within_the_canary_share() {
+    // Half of its answers are bad once it gets more than half of the traffic.
     let new = NewVersion {
-        bad_part: 0.5,
-        bad_from_ms: OVER_MS * 4 / 5,
+        bad_share: 0.5,
+        bad_from_ms: ROLLOUT_MS * 4 / 5,
         on_one_route: false,
         noise: 0.0,
     };
-    let allowed = CANARY_SHARE * (OVER_MS / 5 * REGIONS) as f64 + CANARY_SLACK;
+    let allowed = CANARY_SHARE * (ROLLOUT_MS / 5 * REGIONS) as f64 + CANARY_SLACK;
     for seed in 0..20 {
-        let outcome = play(new, seed);
+        let outcome = simulate(new, seed);
         assert_eq!(outcome.state, RolloutState::Reverted, "seed {seed}");
         let exposed = outcome.exposed as f64;
         assert!(exposed <= allowed, "seed {seed}: {outcome:?}");
@@ -300,20 +303,20 @@
 }
 
 #[test]
-fn what_the_store_records_is_final_whatever_hosts_tell() {
+fn recorded_final_state_overrides_reports_of_hosts() {
     let mut table = RolloutTable::default();
     table.on_list(vec![(stored(None), 8)], 8, Moment(0));
-    let mut told = table.news(Moment(1));
-    told.orders[0].state = RolloutState::Reverted;
+    let mut received = table.news(Moment(1));
+    received.orders[0].state = RolloutState::Reverted;
     table.on_order(stored(Some(RolloutState::Complete)), 9, Moment(2));
-    table.on_news(&told, Moment(3));
+    table.on_news(&received, Moment(3));
     let rule = table.rule_of("desk", 0.99, CANARY_SHARE, false, Moment(3));
     assert_eq!(rule, VersionRule::Only(version("v2")));
     assert!(table.unrecorded(0, Moment(4)).is_empty());
 }
 
 #[test]
-fn a_request_that_the_new_version_failed_goes_to_the_old_one() {
+fn retry_of_a_request_that_the_new_version_failed_goes_to_the_old_one() {
     let mut table = RolloutTable::default();
     table.on_list(vec![(stored(None), 8)], 8, Moment(0));
     assert_eq!(
@@ -331,7 +334,7 @@
 }
 
 #[test]
-fn a_host_that_starts_in_the_middle_takes_over_how_far_the_traffic_has_moved() {
+fn host_started_during_a_rollout_adopts_its_progress() {
     let mut first = RolloutTable::default();
     first.on_list(vec![(stored(None), 8)], 8, Moment(0));
     let view = RegionView {
@@ -339,17 +342,17 @@
         hosts: 1,
         regions: 1,
     };
-    let _change = first.decide("desk", view, Moment(OVER_MS * 9 / 10));
+    let _change = first.decide("desk", view, Moment(ROLLOUT_MS * 9 / 10));
     let mut second = RolloutTable::default();
-    second.on_news(&first.news(Moment(OVER_MS * 9 / 10)), Moment(20_000));
+    second.on_news(&first.news(Moment(ROLLOUT_MS * 9 / 10)), Moment(20_000));
     let news = second.news(Moment(20_000));
     assert_eq!(news.orders[0].step, RolloutStep::All);
-    assert_eq!(news.orders[0].age_ms, OVER_MS * 9 / 10);
+    assert_eq!(news.orders[0].age_ms, ROLLOUT_MS * 9 / 10);
 }
 
-/// Servers of a third version come later without an order, as in a release.
+/// Servers of a third version may join later without a rollout, as in a release.
 #[test]
-fn an_order_that_is_complete_keeps_no_later_version_from_requests() {
+fn completed_rollout_does_not_exclude_later_versions() {
     let mut table = RolloutTable::default();
     table.on_list(
         vec![(stored(Some(RolloutState::Complete)), 8)],
@@ -364,29 +367,30 @@
     assert!(rule_at(60_000).allows(version("v3")));
 }
 
-/// Each host reports to the one that decides for its region, however many they are.
+/// Every host reports to the rollout leader of its region, however many hosts there are.
 #[test]
-fn what_the_deciding_host_gets_does_not_grow_with_the_hosts_and_its_verdict_holds() {
-    // A hundred a second in turn, and one for each request that leaves the former version or fails on the new one.
-    let bound = 100 * OVER_MS / 1_000 + 300;
+fn report_rate_at_the_leader_is_bounded_and_its_decision_holds() {
+    // A hundred routine reports per second, and an urgent one for each request that leaves the old
+    // version or fails on the new one.
+    let bound = 100 * ROLLOUT_MS / 1_000 + 300;
     let noisy = NewVersion {
         noise: 0.02,
         ..GOOD
     };
     let bad = NewVersion {
-        bad_part: 0.3,
+        bad_share: 0.3,
         ..noisy
     };
-    let allowed = CANARY_SHARE * (OVER_MS / 5 * REGIONS) as f64 + CANARY_SLACK;
+    let allowed = CANARY_SHARE * (ROLLOUT_MS / 5 * REGIONS) as f64 + CANARY_SLACK;
     for hosts in [33, 329, 658] {
         for seed in 0..3 {
-            let outcome = play_with_hosts(noisy, hosts, seed);
+            let outcome = simulate_with_hosts(noisy, hosts, seed);
             assert_eq!(outcome.state, RolloutState::Complete, "{hosts} {seed}");
             assert!(
                 outcome.reports as u64 <= bound,
                 "{hosts} {seed}: {outcome:?}"
             );
-            let outcome = play_with_hosts(bad, hosts, seed);
+            let outcome = simulate_with_hosts(bad, hosts, seed);
             assert_eq!(outcome.state, RolloutState::Reverted, "{hosts} {seed}");
             assert!(
                 outcome.exposed as f64 <= allowed,
