--- a/src/entry/quarantine/stored.rs
+++ b/src/entry/quarantine/stored.rs
@@ -1,12 +1,12 @@
 //! The stored form of a blocked request, for hosts that start when no other host is running.
 
-use super::SUSPECT_LIFE_MS;
+use super::SUSPECT_TTL_MS;
 use super::message::SuspectRecord;
 use crate::entry::fingerprint::RequestFingerprint;
 
 /// Age at which a store entry expires, in milliseconds of wall-clock time, which may be off by
 /// seconds. It is many times the lifetime in a host's memory because no host refreshes the entry.
-const STORED_TTL_MS: u64 = 24 * SUSPECT_LIFE_MS;
+const STORED_TTL_MS: u64 = 24 * SUSPECT_TTL_MS;
 
 /// A blocked request. Hashes are written as hexadecimal text because a store may parse numbers as
 /// floats.
--- a/src/entry/quarantine/table.rs
+++ b/src/entry/quarantine/table.rs
@@ -2,8 +2,8 @@
 
 use super::message::{QuarantineDigest, SuspectRecord};
 use super::{
-    CLEARED_LIFE_MS, FIRST_TRIAL_MS, MAX_SUSPECTS, SERVERS_TO_BAR, SERVERS_TO_TELL,
-    SUSPECT_LIFE_MS, SWIFT_SPREAD_MS, SWIFT_TRIAL_MS, TRIAL_FACTOR,
+    CLEARED_TTL_MS, EARLY_PROBE_DELAY_MS, EARLY_PROBE_SPREAD_MS, FIRST_PROBE_DELAY_MS,
+    MAX_SUSPECTS, PROBE_BACKOFF_FACTOR, SERVERS_TO_ANNOUNCE, SERVERS_TO_BLOCK, SUSPECT_TTL_MS,
 };
 use crate::entry::fingerprint::RequestFingerprint;
 use crate::entry::hash;
@@ -62,8 +62,8 @@
     fn state(&self) -> SuspectState {
         match self.ended.len() {
             _ if self.cleared => SuspectState::Cleared,
-            SERVERS_TO_BAR.. => SuspectState::Barred,
-            SERVERS_TO_TELL.. => SuspectState::Known,
+            SERVERS_TO_BLOCK.. => SuspectState::Barred,
+            SERVERS_TO_ANNOUNCE.. => SuspectState::Known,
             _ => SuspectState::Counted,
         }
     }
@@ -75,9 +75,9 @@
 
     const fn ttl_ms(&self) -> u64 {
         if self.cleared {
-            CLEARED_LIFE_MS
+            CLEARED_TTL_MS
         } else {
-            SUSPECT_LIFE_MS
+            SUSPECT_TTL_MS
         }
     }
 
@@ -89,7 +89,7 @@
                 self.ended.insert(place, *server);
             }
         }
-        self.ended.truncate(SERVERS_TO_BAR);
+        self.ended.truncate(SERVERS_TO_BLOCK);
         self.ended.len() > before
     }
 
@@ -105,11 +105,12 @@
             return None;
         }
         let elapsed_ms = now.since(self.waiting_since);
-        let wait_ms = FIRST_TRIAL_MS.saturating_mul(TRIAL_FACTOR.saturating_pow(self.trials));
+        let wait_ms =
+            FIRST_PROBE_DELAY_MS.saturating_mul(PROBE_BACKOFF_FACTOR.saturating_pow(self.trials));
         if elapsed_ms >= wait_ms {
             return Some(DueProbe::Regular);
         }
-        let early_ms = SWIFT_TRIAL_MS + fingerprint.0 % SWIFT_SPREAD_MS;
+        let early_ms = EARLY_PROBE_DELAY_MS + fingerprint.0 % EARLY_PROBE_SPREAD_MS;
         let may_probe_early = shares_crash && self.trials == 0 && !self.early_probe_sent;
         (may_probe_early && elapsed_ms >= early_ms).then_some(DueProbe::Early)
     }
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -21,7 +21,9 @@
 use super::pool::{self, ConnectFault};
 use super::quarantine::message::{QuarantineDigest, QuarantineMessage, ServerEnd, SuspectRecord};
 use super::quarantine::table::{QuarantineTable, SuspectChange, SuspectState};
-use super::quarantine::{KEEPERS, MAX_SUSPECTS, RECORDS_PER_DATAGRAM, REQUESTS_PER_DATAGRAM};
+use super::quarantine::{
+    MAX_RECORDS_PER_DATAGRAM, MAX_REQUESTS_PER_DATAGRAM, MAX_SUSPECTS, TRACKERS_PER_SUSPECT,
+};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 use crate::timer::Moment;
@@ -233,11 +235,11 @@
     /// Handles a crash of a server on which `requests` of this host were in flight.
     fn on_server_ended(&self, server: &FleetServer, requests: &[RequestFingerprint]) {
         self.metrics.borrow_mut().servers_ended += 1;
-        let listed = requests.iter().take(REQUESTS_PER_DATAGRAM);
+        let listed = requests.iter().take(MAX_REQUESTS_PER_DATAGRAM);
         let listed: Vec<String> = listed.map(ToString::to_string).collect();
         let fields = json!({ "server": server.id, "count": requests.len(), "requests": listed });
         self.note(EventCode::ServerEnded, fields);
-        for chunk in requests.chunks(REQUESTS_PER_DATAGRAM) {
+        for chunk in requests.chunks(MAX_REQUESTS_PER_DATAGRAM) {
             let end = ServerEnd {
                 server: server.hash,
                 requests: chunk.to_vec(),
@@ -325,7 +327,7 @@
             let records = peers.records();
             records.map(|record| record.heartbeat_address).collect()
         };
-        for chunk in records.chunks(RECORDS_PER_DATAGRAM) {
+        for chunk in records.chunks(MAX_RECORDS_PER_DATAGRAM) {
             let message = QuarantineMessage::Records(chunk.to_vec());
             gossip::send(self, &PeerMessage::Quarantine(message), &targets);
         }
@@ -339,7 +341,7 @@
         let now = self.now();
         let peers = self.peers.borrow();
         for fingerprint in requests {
-            for tracker in peers.suspect_keepers(*fingerprint, KEEPERS, now) {
+            for tracker in peers.suspect_keepers(*fingerprint, TRACKERS_PER_SUSPECT, now) {
                 by_tracker.entry(tracker).or_default().push(*fingerprint);
             }
         }
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -93,7 +93,7 @@
     /// Servers ended under it, and it is sent to no other.
     pub(super) const QUARANTINED: Self = Self::refused(
         RequestEnd::RefusedQuarantined,
-        quarantine::COME_BACK_MS,
+        quarantine::RETRY_AFTER_MS,
         "servers ended under it",
     );
     /// Its headers exceed what is configured.
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -14,8 +14,9 @@
 use ledgespool::entry::quarantine::message::{QuarantineMessage, ServerEnd, SuspectRecord};
 use ledgespool::entry::quarantine::table::{QuarantineTable, SuspectChange, SuspectState};
 use ledgespool::entry::quarantine::{
-    CLEARED_LIFE_MS, FIRST_TRIAL_MS, KEEPERS, MAX_SUSPECTS, RECORDS_PER_DATAGRAM,
-    REQUESTS_PER_DATAGRAM, SUSPECT_LIFE_MS, SWIFT_SPREAD_MS, SWIFT_TRIAL_MS, TRIAL_FACTOR,
+    CLEARED_TTL_MS, EARLY_PROBE_DELAY_MS, EARLY_PROBE_SPREAD_MS, FIRST_PROBE_DELAY_MS,
+    MAX_RECORDS_PER_DATAGRAM, MAX_REQUESTS_PER_DATAGRAM, MAX_SUSPECTS, PROBE_BACKOFF_FACTOR,
+    SUSPECT_TTL_MS, TRACKERS_PER_SUSPECT,
 };
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
@@ -56,7 +57,7 @@
     assert!(matches!(change, SuspectChange::Tell(record) if record.cleared));
     table.on_ended(CRASHING, 4, START);
     assert!(!table.is_barred(CRASHING));
-    let now = START.plus(CLEARED_LIFE_MS);
+    let now = START.plus(CLEARED_TTL_MS);
     table.on_tick(now);
     assert_eq!(table.state_of(CRASHING), None, "the success has expired");
     for server in 5..8 {
@@ -75,11 +76,11 @@
 #[test]
 fn blocked_request_does_not_expire_while_it_is_repeated() {
     let mut table = table_after_crashes(&[1, 2, 3]);
-    let late = START.plus(SUSPECT_LIFE_MS - 1);
+    let late = START.plus(SUSPECT_TTL_MS - 1);
     table.on_refused(CRASHING, late);
-    table.on_tick(late.plus(SUSPECT_LIFE_MS - 1));
+    table.on_tick(late.plus(SUSPECT_TTL_MS - 1));
     assert!(table.is_barred(CRASHING));
-    table.on_tick(late.plus(SUSPECT_LIFE_MS));
+    table.on_tick(late.plus(SUSPECT_TTL_MS));
     assert!(!table.is_barred(CRASHING) && !table.has_told());
 }
 
@@ -98,7 +99,7 @@
 #[test]
 fn blocked_request_is_probed_at_growing_intervals() {
     let mut table = table_after_crashes(&[1, 2, 3]);
-    let first = START.plus(FIRST_TRIAL_MS);
+    let first = START.plus(FIRST_PROBE_DELAY_MS);
     assert_eq!(table.try_barred(CRASHING, first.before(1)), None);
     let probe = table.try_barred(CRASHING, first).expect("a probe is due");
     assert_eq!(probe.trials, 1);
@@ -109,7 +110,7 @@
     let mut other = table_after_crashes(&[1, 2, 3]);
     other.on_told(&probe, first);
     assert_eq!(other.digest(), table.digest());
-    let second = first.plus(FIRST_TRIAL_MS * TRIAL_FACTOR);
+    let second = first.plus(FIRST_PROBE_DELAY_MS * PROBE_BACKOFF_FACTOR);
     for host in [&mut table, &mut other] {
         assert_eq!(host.try_barred(CRASHING, second.before(1)), None);
         assert!(host.try_barred(CRASHING, second).is_some());
@@ -127,10 +128,10 @@
     }
     assert!(table.is_barred(OTHER));
     assert_eq!(
-        table.try_barred(OTHER, START.plus(SWIFT_TRIAL_MS - 1)),
+        table.try_barred(OTHER, START.plus(EARLY_PROBE_DELAY_MS - 1)),
         None
     );
-    let soon = START.plus(SWIFT_TRIAL_MS + SWIFT_SPREAD_MS);
+    let soon = START.plus(EARLY_PROBE_DELAY_MS + EARLY_PROBE_SPREAD_MS);
     assert!(table.try_barred(OTHER, soon).is_some());
     table.on_success(OTHER, soon);
     assert!(!table.is_barred(OTHER));
@@ -157,10 +158,10 @@
         ended: vec![1, 2, 3],
         cleared: false,
         trials: 0,
-        age_s: (SUSPECT_LIFE_MS / 1_000) as u32,
+        age_s: (SUSPECT_TTL_MS / 1_000) as u32,
     };
     let mut table = QuarantineTable::default();
-    assert!(!table.on_told(&record, Moment(SUSPECT_LIFE_MS * 2)));
+    assert!(!table.on_told(&record, Moment(SUSPECT_TTL_MS * 2)));
     assert!(!table.has_told());
 }
 
@@ -274,13 +275,13 @@
         let mut first = Vec::new();
         for own in &all {
             let peers = table_without(own, &all, START);
-            let trackers = peers.suspect_keepers(request, KEEPERS, START);
-            assert_eq!(trackers.len(), KEEPERS);
+            let trackers = peers.suspect_keepers(request, TRACKERS_PER_SUSPECT, START);
+            assert_eq!(trackers.len(), TRACKERS_PER_SUSPECT);
             // A tracker does not list itself, but the next host instead.
             listed.extend(trackers);
             first.extend(peers.is_first_keeper(own, request, START).then_some(own));
         }
-        assert!(listed.len() <= KEEPERS + 1, "{listed:?}");
+        assert!(listed.len() <= TRACKERS_PER_SUSPECT + 1, "{listed:?}");
         assert_eq!(first.len(), 1, "exactly one host sends the probes");
         assert!(listed.contains(&first[0].heartbeat_address));
     }
@@ -293,7 +294,7 @@
     let long_after = START.plus(60_000);
     assert!(
         peers
-            .suspect_keepers(CRASHING, KEEPERS, long_after)
+            .suspect_keepers(CRASHING, TRACKERS_PER_SUSPECT, long_after)
             .is_empty()
     );
     assert!(peers.is_first_keeper(&all[0], CRASHING, long_after));
@@ -313,10 +314,10 @@
     };
     let end = ServerEnd {
         server: u64::MAX,
-        requests: vec![RequestFingerprint(u64::MAX); REQUESTS_PER_DATAGRAM],
+        requests: vec![RequestFingerprint(u64::MAX); MAX_REQUESTS_PER_DATAGRAM],
     };
     let messages = [
-        QuarantineMessage::Records(vec![record; RECORDS_PER_DATAGRAM]),
+        QuarantineMessage::Records(vec![record; MAX_RECORDS_PER_DATAGRAM]),
         QuarantineMessage::Ended(end),
     ];
     for message in messages {
