--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -240,7 +240,7 @@
 async fn fetch_suspects<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
     let fetched = fetch::<W, Vec<SuspectRecord>>(host, source, SUSPECTS_PATH).await;
     if let Some(records) = &fetched {
-        host.on_suspects_told(records, &source.to_string());
+        host.on_suspect_records(records, &source.to_string());
     }
     FetchEnd::of(fetched.as_ref())
 }
@@ -301,7 +301,7 @@
     }
     host.on_rollout_news(&snapshot.rollouts);
     if let Some(suspects) = &snapshot.suspects {
-        host.on_suspects_told(suspects, &source);
-        host.quarantine.on_read();
+        host.on_suspect_records(suspects, &source);
+        host.quarantine.on_loaded();
     }
 }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -253,7 +253,7 @@
             peers: self.peers.borrow().records().count(),
             limit_hosts: self.limits.hosts(),
             suspects: self.quarantine.digest().count,
-            barred_requests: self.quarantine.barred_count(),
+            barred_requests: self.quarantine.blocked_count(),
             store_era: self.store_era.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -42,7 +42,7 @@
     open: &OpenRequest,
 ) -> Result<AnsweredRequest, RequestFailure> {
     let admission = host.admit_suspect(open);
-    if admission == SuspectAdmission::Barred {
+    if admission == SuspectAdmission::Blocked {
         return Err(RequestFailure::QUARANTINED);
     }
     if let Some(customer) = &open.customer {
@@ -107,8 +107,8 @@
             return Ok(None);
         }
         // It may have been barred while it waited, or by its own last offer.
-        let is_first_of_trial = self.admission == SuspectAdmission::Trial && self.offers == 0;
-        if !is_first_of_trial && self.host.is_barred(self.open) {
+        let is_first_of_trial = self.admission == SuspectAdmission::Probe && self.offers == 0;
+        if !is_first_of_trial && self.host.is_blocked(self.open) {
             return Err(self.last.unwrap_or(RequestFailure::QUARANTINED));
         }
         let chosen = self.choose_with_right().await;
--- a/src/entry/quarantine/stored.rs
+++ b/src/entry/quarantine/stored.rs
@@ -48,7 +48,7 @@
 
     /// Returns whether the entry has expired.
     #[must_use]
-    pub const fn is_out_of_date(&self, unix_ms: u64) -> bool {
+    pub const fn is_expired(&self, unix_ms: u64) -> bool {
         unix_ms.saturating_sub(self.barred_unix_ms) > STORED_TTL_MS
     }
 
--- a/src/entry/quarantine/table.rs
+++ b/src/entry/quarantine/table.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectState {
     /// Too few servers crashed; only its trackers know it.
-    Counted,
+    Tracked,
     /// Announced to all hosts, and still sent to servers.
-    Known,
+    Announced,
     /// Not sent to any server, except for probes.
-    Barred,
+    Blocked,
     /// A server has answered it successfully.
     Cleared,
 }
@@ -28,9 +28,9 @@
     /// Nothing changed.
     None,
     /// A new crash is recorded, which only the suspect's trackers need to know.
-    Counted,
+    Tracked,
     /// The record must be announced to all hosts.
-    Tell(SuspectRecord),
+    Announce(SuspectRecord),
 }
 
 /// The kind of probe of a blocked request that is due.
@@ -62,15 +62,15 @@
     fn state(&self) -> SuspectState {
         match self.ended.len() {
             _ if self.cleared => SuspectState::Cleared,
-            SERVERS_TO_BLOCK.. => SuspectState::Barred,
-            SERVERS_TO_ANNOUNCE.. => SuspectState::Known,
-            _ => SuspectState::Counted,
+            SERVERS_TO_BLOCK.. => SuspectState::Blocked,
+            SERVERS_TO_ANNOUNCE.. => SuspectState::Announced,
+            _ => SuspectState::Tracked,
         }
     }
 
     /// Returns whether it is announced to all hosts.
     fn is_announced(&self) -> bool {
-        self.state() != SuspectState::Counted
+        self.state() != SuspectState::Tracked
     }
 
     const fn ttl_ms(&self) -> u64 {
@@ -101,7 +101,7 @@
         shares_crash: bool,
         now: Moment,
     ) -> Option<DueProbe> {
-        if self.state() != SuspectState::Barred {
+        if self.state() != SuspectState::Blocked {
             return None;
         }
         let elapsed_ms = now.since(self.waiting_since);
@@ -139,12 +139,12 @@
     fn hash(&self, fingerprint: RequestFingerprint) -> u64 {
         let state = self.state();
         let servers = match state {
-            SuspectState::Counted | SuspectState::Known => self.ended.as_slice(),
-            SuspectState::Barred | SuspectState::Cleared => &[],
+            SuspectState::Tracked | SuspectState::Announced => self.ended.as_slice(),
+            SuspectState::Blocked | SuspectState::Cleared => &[],
         };
         let trials = match state {
-            SuspectState::Barred => u64::from(self.trials) << 8,
-            SuspectState::Counted | SuspectState::Known | SuspectState::Cleared => 0,
+            SuspectState::Blocked => u64::from(self.trials) << 8,
+            SuspectState::Tracked | SuspectState::Announced | SuspectState::Cleared => 0,
         };
         let seed = hash::mix(hash::mix(fingerprint.0) ^ trials ^ state as u64);
         let servers = servers.iter();
@@ -161,12 +161,12 @@
 /// let mut table = QuarantineTable::default();
 /// let request = RequestFingerprint(7);
 /// for server in 1..=3 {
-///     assert!(!table.is_barred(request));
-///     table.on_ended(request, server, Moment(0));
+///     assert!(!table.is_blocked(request));
+///     table.on_crash(request, server, Moment(0));
 /// }
-/// assert!(table.is_barred(request));
+/// assert!(table.is_blocked(request));
 /// table.on_success(request, Moment(9));
-/// assert!(!table.is_barred(request));
+/// assert!(!table.is_blocked(request));
 /// ```
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
@@ -178,7 +178,7 @@
 impl QuarantineTable {
     /// Returns whether any suspect is announced to all hosts.
     #[must_use]
-    pub const fn has_told(&self) -> bool {
+    pub const fn has_announced(&self) -> bool {
         self.announced > 0
     }
 
@@ -190,21 +190,21 @@
 
     /// Returns whether a request is blocked.
     #[must_use]
-    pub fn is_barred(&self, fingerprint: RequestFingerprint) -> bool {
-        self.state_of(fingerprint) == Some(SuspectState::Barred)
+    pub fn is_blocked(&self, fingerprint: RequestFingerprint) -> bool {
+        self.state_of(fingerprint) == Some(SuspectState::Blocked)
     }
 
     /// Number of blocked requests.
     #[must_use]
-    pub fn barred_count(&self) -> usize {
+    pub fn blocked_count(&self) -> usize {
         let entries = self.entries.values();
         entries
-            .filter(|entry| entry.state() == SuspectState::Barred)
+            .filter(|entry| entry.state() == SuspectState::Blocked)
             .count()
     }
 
     /// Records that a server crashed while processing a request.
-    pub fn on_ended(
+    pub fn on_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         server: u64,
@@ -224,7 +224,7 @@
     }
 
     /// Merges a record from another host or the store; returns whether it adds anything.
-    pub fn on_told(&mut self, record: &SuspectRecord, now: Moment) -> bool {
+    pub fn on_record(&mut self, record: &SuspectRecord, now: Moment) -> bool {
         self.merge(record, now)
     }
 
@@ -232,11 +232,11 @@
     pub fn on_success(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
         match self.state_of(fingerprint) {
             None | Some(SuspectState::Cleared) => SuspectChange::None,
-            Some(SuspectState::Counted) => {
+            Some(SuspectState::Tracked) => {
                 self.entries.remove(&fingerprint);
                 SuspectChange::None
             }
-            Some(SuspectState::Known | SuspectState::Barred) => {
+            Some(SuspectState::Announced | SuspectState::Blocked) => {
                 if let Some(entry) = self.entries.get_mut(&fingerprint) {
                     entry.clear(now);
                 }
@@ -247,7 +247,7 @@
 
     /// Returns the updated record if a probe of a blocked request is due. The caller may then send
     /// the request to one server and must announce the record.
-    pub fn try_barred(
+    pub fn take_probe(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
@@ -273,7 +273,7 @@
             .entries
             .iter()
             .filter(|(other, _)| **other != fingerprint);
-        let mut barred = others.filter(|(_, other)| other.state() == SuspectState::Barred);
+        let mut barred = others.filter(|(_, other)| other.state() == SuspectState::Blocked);
         barred.any(|(_, other)| {
             other
                 .ended
@@ -311,7 +311,7 @@
     /// Returns the digest of all announced suspects.
     #[must_use]
     pub fn digest(&self) -> QuarantineDigest {
-        if !self.has_told() {
+        if !self.has_announced() {
             return QuarantineDigest::default();
         }
         let announced = self
@@ -370,9 +370,9 @@
     fn change_for(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
         match self.entries.get(&fingerprint) {
             Some(entry) if entry.is_announced() => {
-                SuspectChange::Tell(entry.record(fingerprint, now))
+                SuspectChange::Announce(entry.record(fingerprint, now))
             }
-            Some(_) => SuspectChange::Counted,
+            Some(_) => SuspectChange::Tracked,
             None => SuspectChange::None,
         }
     }
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SuspectAdmission {
     /// The request is not blocked.
-    Free,
+    Allowed,
     /// The request is blocked, and this host probes one server with it.
-    Trial,
+    Probe,
     /// The request is blocked and must not be sent.
-    Barred,
+    Blocked,
 }
 
 /// The quarantine state of this host.
@@ -70,18 +70,18 @@
     }
 
     /// The records for a starting host; `None` while this host may be missing stored suspects.
-    pub(super) fn told_records(&self, now: Moment) -> Option<Vec<SuspectRecord>> {
+    pub(super) fn snapshot_records(&self, now: Moment) -> Option<Vec<SuspectRecord>> {
         self.is_loaded.get().then(|| self.records(now))
     }
 
     /// Marks the stored suspects as known.
-    pub(super) fn on_read(&self) {
+    pub(super) fn on_loaded(&self) {
         self.is_loaded.set(true);
     }
 
     /// Number of blocked requests.
-    pub(super) fn barred_count(&self) -> usize {
-        self.table.borrow().barred_count()
+    pub(super) fn blocked_count(&self) -> usize {
+        self.table.borrow().blocked_count()
     }
 
     /// The record of a request, if it is blocked.
@@ -90,7 +90,7 @@
         fingerprint: RequestFingerprint,
         now: Moment,
     ) -> Option<SuspectRecord> {
-        if !self.table.borrow().is_barred(fingerprint) {
+        if !self.table.borrow().is_blocked(fingerprint) {
             return None;
         }
         let mut records = self.records(now).into_iter();
@@ -156,7 +156,7 @@
         Ok(_) | Err(ConnectFault::Silent) => {}
         Err(ConnectFault::Refused) => {
             host.on_server_unreachable(&server);
-            host.on_server_ended(&server, &requests);
+            host.on_server_crashed(&server, &requests);
         }
     }
 }
@@ -167,7 +167,7 @@
         QuarantineMessage::Ended(end) => {
             let _unannounced = host.record_crash(end);
         }
-        QuarantineMessage::Records(records) => host.on_suspects_told(records, "peer"),
+        QuarantineMessage::Records(records) => host.on_suspect_records(records, "peer"),
     }
 }
 
@@ -175,25 +175,25 @@
     /// Decides whether a request may be sent to servers now. Takes a probe that is due.
     pub(super) fn admit_suspect(&self, open: &OpenRequest) -> SuspectAdmission {
         let mut table = self.quarantine.table.borrow_mut();
-        if !table.has_told() {
-            return SuspectAdmission::Free;
+        if !table.has_announced() {
+            return SuspectAdmission::Allowed;
         }
         let fingerprint = open.fingerprint();
-        if !table.is_barred(fingerprint) {
-            return SuspectAdmission::Free;
+        if !table.is_blocked(fingerprint) {
+            return SuspectAdmission::Allowed;
         }
         let now = self.now();
         table.on_refused(fingerprint, now);
         if !self.may_probe(fingerprint, now) {
-            return SuspectAdmission::Barred;
+            return SuspectAdmission::Blocked;
         }
-        let Some(record) = table.try_barred(fingerprint, now) else {
-            return SuspectAdmission::Barred;
+        let Some(record) = table.take_probe(fingerprint, now) else {
+            return SuspectAdmission::Blocked;
         };
         drop(table);
         self.log_suspect(EventCode::RequestTried, &record, "timer");
         self.announce_records(&[record]);
-        SuspectAdmission::Trial
+        SuspectAdmission::Probe
     }
 
     /// Returns whether this host probes a blocked request. Only the first of its suspect trackers
@@ -206,15 +206,15 @@
     }
 
     /// Returns whether a request is blocked.
-    pub(super) fn is_barred(&self, open: &OpenRequest) -> bool {
+    pub(super) fn is_blocked(&self, open: &OpenRequest) -> bool {
         let table = self.quarantine.table.borrow();
-        table.has_told() && table.is_barred(open.fingerprint())
+        table.has_announced() && table.is_blocked(open.fingerprint())
     }
 
     /// Clears a suspect when a server has answered it with a complete, successful response.
     pub(super) fn on_success(&self, open: &OpenRequest, answer: &ServerAnswer) {
         let is_whole_success = answer.head.status.is_success() && answer.rest.is_none();
-        if !is_whole_success || !self.quarantine.table.borrow().has_told() {
+        if !is_whole_success || !self.quarantine.table.borrow().has_announced() {
             return;
         }
         let fingerprint = open.fingerprint();
@@ -222,9 +222,9 @@
         let before = table.state_of(fingerprint);
         let change = table.on_success(fingerprint, self.now());
         drop(table);
-        if let SuspectChange::Tell(record) = change {
+        if let SuspectChange::Announce(record) = change {
             self.log_suspect(EventCode::RequestCleared, &record, "answer");
-            if before == Some(SuspectState::Barred) {
+            if before == Some(SuspectState::Blocked) {
                 let name = fingerprint.to_string();
                 self.quarantine.queue_store_task(StoreTask::Remove(name));
             }
@@ -233,7 +233,7 @@
     }
 
     /// Handles a crash of a server on which `requests` of this host were in flight.
-    fn on_server_ended(&self, server: &FleetServer, requests: &[RequestFingerprint]) {
+    fn on_server_crashed(&self, server: &FleetServer, requests: &[RequestFingerprint]) {
         self.metrics.borrow_mut().servers_ended += 1;
         let listed = requests.iter().take(MAX_REQUESTS_PER_DATAGRAM);
         let listed: Vec<String> = listed.map(ToString::to_string).collect();
@@ -258,10 +258,10 @@
         let mut announced = Vec::new();
         for fingerprint in &end.requests {
             let mut table = self.quarantine.table.borrow_mut();
-            match table.on_ended(*fingerprint, end.server, now) {
+            match table.on_crash(*fingerprint, end.server, now) {
                 SuspectChange::None => {}
-                SuspectChange::Counted => unannounced.push(*fingerprint),
-                SuspectChange::Tell(record) => announced.push(record),
+                SuspectChange::Tracked => unannounced.push(*fingerprint),
+                SuspectChange::Announce(record) => announced.push(record),
             }
         }
         for record in &announced {
@@ -274,7 +274,7 @@
     /// Logs a suspect that this host found to be blocked and queues it for the store.
     fn on_announced_suspect(&self, record: &SuspectRecord, source: &str) {
         let state = self.quarantine.table.borrow().state_of(record.fingerprint);
-        if state == Some(SuspectState::Barred) {
+        if state == Some(SuspectState::Blocked) {
             self.log_suspect(EventCode::RequestBarred, record, source);
             let task = StoreTask::Write(record.clone());
             self.quarantine.queue_store_task(task);
@@ -282,29 +282,29 @@
     }
 
     /// Merges records from another host or the store.
-    pub(super) fn on_suspects_told(&self, records: &[SuspectRecord], source: &str) {
+    pub(super) fn on_suspect_records(&self, records: &[SuspectRecord], source: &str) {
         let now = self.now();
         for record in records {
             let mut table = self.quarantine.table.borrow_mut();
-            let was_barred = table.is_barred(record.fingerprint);
-            if !table.on_told(record, now) {
+            let was_blocked = table.is_blocked(record.fingerprint);
+            if !table.on_record(record, now) {
                 continue;
             }
             let state = table.state_of(record.fingerprint);
             drop(table);
             match state {
-                Some(SuspectState::Barred) => {
+                Some(SuspectState::Blocked) => {
                     self.log_suspect(EventCode::RequestBarred, record, source);
                     // When the limit is reached only by merging the records of several hosts, no
                     // host has recorded the last crash and written the request to the store.
-                    if !was_barred && source != STORE_SOURCE {
+                    if !was_blocked && source != STORE_SOURCE {
                         self.write_if_first(record.fingerprint);
                     }
                 }
                 Some(SuspectState::Cleared) => {
                     self.log_suspect(EventCode::RequestCleared, record, source);
                 }
-                Some(SuspectState::Counted | SuspectState::Known) | None => {}
+                Some(SuspectState::Tracked | SuspectState::Announced) | None => {}
             }
         }
     }
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -46,7 +46,7 @@
 /// start of the whole system there are none.
 async fn read_once<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     if host.settings().first_start {
-        host.quarantine.on_read();
+        host.quarantine.on_loaded();
     }
     let mut pause_ms = follow::FIRST_PAUSE_MS;
     while !host.quarantine.is_loaded.get() {
@@ -57,7 +57,7 @@
             continue;
         }
         match read_all(&host, &*store).await {
-            Ok(()) => host.quarantine.on_read(),
+            Ok(()) => host.quarantine.on_loaded(),
             Err(fault) => {
                 log_fault(&host, &fault);
                 follow::pause_up_to(&host, pause_ms).await;
@@ -88,12 +88,12 @@
     let unix_ms = timer::unix_millis();
     for object in objects {
         match &object.content {
-            ObjectContent::Suspect(stored) if stored.is_out_of_date(unix_ms) => {
+            ObjectContent::Suspect(stored) if stored.is_expired(unix_ms) => {
                 let task = StoreTask::Remove(object.name.clone());
                 host.quarantine.queue_store_task(task);
             }
             ObjectContent::Suspect(stored) => match stored.record() {
-                Some(record) => host.on_suspects_told(&[record], STORE_SOURCE),
+                Some(record) => host.on_suspect_records(&[record], STORE_SOURCE),
                 None => log_unreadable(host, object, "not a fingerprint"),
             },
             ObjectContent::Unreadable(reason) => log_unreadable(host, object, reason),
@@ -114,7 +114,7 @@
 impl<W: WireProtocol> EntryHost<W> {
     /// Writes the blocked requests again after the store may have lost them. Each is written by the
     /// first of its suspect trackers.
-    pub(in crate::entry) fn write_barred_again(&self) {
+    pub(in crate::entry) fn rewrite_blocked_requests(&self) {
         for record in self.quarantine.records(self.now()) {
             self.write_if_first(record.fingerprint);
         }
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -112,7 +112,7 @@
             evacuation_revision: evacuations.revision(),
             hosts,
             hosts_listed: self.peers.borrow().is_listed(),
-            suspects: self.quarantine.told_records(self.now()),
+            suspects: self.quarantine.snapshot_records(self.now()),
             region_sizes: self.region_sizes(),
             rollouts: self.rollouts.news(self.now()),
         }
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -37,6 +37,6 @@
         let mut fleet = self.fleet.borrow_mut();
         fleet.on_store_return(ReturnSight::InTime, position, now);
         drop(fleet);
-        self.write_barred_again();
+        self.rewrite_blocked_requests();
     }
 }
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -28,7 +28,7 @@
 fn table_after_crashes(servers: &[u64]) -> QuarantineTable {
     let mut table = QuarantineTable::default();
     for server in servers {
-        table.on_ended(CRASHING, *server, START);
+        table.on_crash(CRASHING, *server, START);
     }
     table
 }
@@ -36,17 +36,17 @@
 #[test]
 fn third_crashed_server_blocks_only_that_request() {
     let mut table = table_after_crashes(&[1]);
-    assert_eq!(table.state_of(CRASHING), Some(SuspectState::Counted));
-    assert!(!table.has_told() && table.records(START).is_empty());
-    let change = table.on_ended(CRASHING, 2, START);
-    assert!(matches!(change, SuspectChange::Tell(record) if record.ended == [1, 2]));
-    assert_eq!(table.state_of(CRASHING), Some(SuspectState::Known));
+    assert_eq!(table.state_of(CRASHING), Some(SuspectState::Tracked));
+    assert!(!table.has_announced() && table.records(START).is_empty());
+    let change = table.on_crash(CRASHING, 2, START);
+    assert!(matches!(change, SuspectChange::Announce(record) if record.ended == [1, 2]));
+    assert_eq!(table.state_of(CRASHING), Some(SuspectState::Announced));
     // Another host reports the same crash.
-    assert_eq!(table.on_ended(CRASHING, 2, START), SuspectChange::None);
-    assert!(!table.is_barred(CRASHING));
-    table.on_ended(CRASHING, 3, START);
-    assert!(table.is_barred(CRASHING) && !table.is_barred(OTHER));
-    assert_eq!(table.on_ended(CRASHING, 4, START), SuspectChange::None);
+    assert_eq!(table.on_crash(CRASHING, 2, START), SuspectChange::None);
+    assert!(!table.is_blocked(CRASHING));
+    table.on_crash(CRASHING, 3, START);
+    assert!(table.is_blocked(CRASHING) && !table.is_blocked(OTHER));
+    assert_eq!(table.on_crash(CRASHING, 4, START), SuspectChange::None);
 }
 
 /// A bystander of the request that crashed the servers must not stay blocked.
@@ -54,16 +54,16 @@
 fn success_clears_a_request_and_overrides_late_crash_reports() {
     let mut table = table_after_crashes(&[1, 2, 3]);
     let change = table.on_success(CRASHING, START);
-    assert!(matches!(change, SuspectChange::Tell(record) if record.cleared));
-    table.on_ended(CRASHING, 4, START);
-    assert!(!table.is_barred(CRASHING));
+    assert!(matches!(change, SuspectChange::Announce(record) if record.cleared));
+    table.on_crash(CRASHING, 4, START);
+    assert!(!table.is_blocked(CRASHING));
     let now = START.plus(CLEARED_TTL_MS);
     table.on_tick(now);
     assert_eq!(table.state_of(CRASHING), None, "the success has expired");
     for server in 5..8 {
-        table.on_ended(CRASHING, server, now);
+        table.on_crash(CRASHING, server, now);
     }
-    assert!(table.is_barred(CRASHING));
+    assert!(table.is_blocked(CRASHING));
 }
 
 #[test]
@@ -79,18 +79,18 @@
     let late = START.plus(SUSPECT_TTL_MS - 1);
     table.on_refused(CRASHING, late);
     table.on_tick(late.plus(SUSPECT_TTL_MS - 1));
-    assert!(table.is_barred(CRASHING));
+    assert!(table.is_blocked(CRASHING));
     table.on_tick(late.plus(SUSPECT_TTL_MS));
-    assert!(!table.is_barred(CRASHING) && !table.has_told());
+    assert!(!table.is_blocked(CRASHING) && !table.has_announced());
 }
 
 #[test]
 fn unannounced_suspects_never_evict_announced_ones() {
     let mut table = table_after_crashes(&[1, 2, 3]);
     for request in 1..=2 * MAX_SUSPECTS as u64 {
-        table.on_ended(RequestFingerprint(request << 16), 1, START.plus(request));
+        table.on_crash(RequestFingerprint(request << 16), 1, START.plus(request));
     }
-    assert!(table.is_barred(CRASHING));
+    assert!(table.is_blocked(CRASHING));
     assert_eq!(table.records(START).len(), 1);
 }
 
@@ -100,22 +100,22 @@
 fn blocked_request_is_probed_at_growing_intervals() {
     let mut table = table_after_crashes(&[1, 2, 3]);
     let first = START.plus(FIRST_PROBE_DELAY_MS);
-    assert_eq!(table.try_barred(CRASHING, first.before(1)), None);
-    let probe = table.try_barred(CRASHING, first).expect("a probe is due");
+    assert_eq!(table.take_probe(CRASHING, first.before(1)), None);
+    let probe = table.take_probe(CRASHING, first).expect("a probe is due");
     assert_eq!(probe.trials, 1);
     assert!(
-        table.is_barred(CRASHING),
+        table.is_blocked(CRASHING),
         "it stays blocked during the probe"
     );
     let mut other = table_after_crashes(&[1, 2, 3]);
-    other.on_told(&probe, first);
+    other.on_record(&probe, first);
     assert_eq!(other.digest(), table.digest());
     let second = first.plus(FIRST_PROBE_DELAY_MS * PROBE_BACKOFF_FACTOR);
     for host in [&mut table, &mut other] {
-        assert_eq!(host.try_barred(CRASHING, second.before(1)), None);
-        assert!(host.try_barred(CRASHING, second).is_some());
+        assert_eq!(host.take_probe(CRASHING, second.before(1)), None);
+        assert!(host.take_probe(CRASHING, second).is_some());
     }
-    assert_eq!(table.try_barred(OTHER, second), None, "it is not a suspect");
+    assert_eq!(table.take_probe(OTHER, second), None, "it is not a suspect");
 }
 
 /// An ordinary look-up that was in flight when two other requests crashed servers was blocked with
@@ -124,29 +124,29 @@
 fn bystander_is_probed_early() {
     let mut table = table_after_crashes(&[1, 2, 3]);
     for server in [2, 3, 4] {
-        table.on_ended(OTHER, server, START);
+        table.on_crash(OTHER, server, START);
     }
-    assert!(table.is_barred(OTHER));
+    assert!(table.is_blocked(OTHER));
     assert_eq!(
-        table.try_barred(OTHER, START.plus(EARLY_PROBE_DELAY_MS - 1)),
+        table.take_probe(OTHER, START.plus(EARLY_PROBE_DELAY_MS - 1)),
         None
     );
     let soon = START.plus(EARLY_PROBE_DELAY_MS + EARLY_PROBE_SPREAD_MS);
-    assert!(table.try_barred(OTHER, soon).is_some());
+    assert!(table.take_probe(OTHER, soon).is_some());
     table.on_success(OTHER, soon);
-    assert!(!table.is_barred(OTHER));
+    assert!(!table.is_blocked(OTHER));
     // The other request no longer shares a crashed server with a blocked one.
-    assert_eq!(table.try_barred(CRASHING, soon.plus(1)), None);
+    assert_eq!(table.take_probe(CRASHING, soon.plus(1)), None);
 }
 
 #[test]
 fn crashing_request_gets_at_most_three_probes_per_hour_with_a_bystander() {
     let mut table = table_after_crashes(&[1, 2, 3]);
     for server in [1, 2, 3] {
-        table.on_ended(OTHER, server, START);
+        table.on_crash(OTHER, server, START);
     }
     let seconds = (0..3_600).map(|second| START.plus(second * 1_000));
-    let trials = seconds.filter(|now| table.try_barred(CRASHING, *now).is_some());
+    let trials = seconds.filter(|now| table.take_probe(CRASHING, *now).is_some());
     assert_eq!(trials.count(), 3);
 }
 
@@ -161,8 +161,8 @@
         age_s: (SUSPECT_TTL_MS / 1_000) as u32,
     };
     let mut table = QuarantineTable::default();
-    assert!(!table.on_told(&record, Moment(SUSPECT_TTL_MS * 2)));
-    assert!(!table.has_told());
+    assert!(!table.on_record(&record, Moment(SUSPECT_TTL_MS * 2)));
+    assert!(!table.has_announced());
 }
 
 /// Records of crashes or successes of a few requests and servers.
@@ -201,13 +201,13 @@
         let mut all = records.clone();
         all.extend(mixed.clone());
         for record in &all {
-            first.on_told(record, START);
+            first.on_record(record, START);
         }
         let count = all.len().max(1);
         all.rotate_left(shuffled as usize % count);
         all.reverse();
         for record in all.iter().chain(&records) {
-            second.on_told(record, START);
+            second.on_record(record, START);
         }
         prop_assert_eq!(first.digest(), second.digest());
         for request in 0..4 {
@@ -226,7 +226,7 @@
         let mut hosts = [QuarantineTable::default(), QuarantineTable::default()];
         for (host, records) in hosts.iter_mut().zip([&left, &right]) {
             for record in records {
-                host.on_told(record, START);
+                host.on_record(record, START);
             }
         }
         // Two heartbeats in each direction: the host with fewer records fetches first.
@@ -234,7 +234,7 @@
             for (requester, other) in [(0, 1), (1, 0)] {
                 if hosts[requester].digest().may_lack(&hosts[other].digest()) {
                     for record in hosts[other].records(START) {
-                        hosts[requester].on_told(&record, START);
+                        hosts[requester].on_record(&record, START);
                     }
                 }
             }
