--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -60,7 +60,7 @@
         match self {
             Self::Configuration => heartbeat.configuration_version > host.configuration_version(),
             Self::Servers => heartbeat.fleet_changed > host.fleet.borrow().revision(),
-            Self::Quarantine => host.quarantine.digest().may_lack(&heartbeat.quarantine),
+            Self::Quarantine => host.quarantine.digest().may_miss(&heartbeat.quarantine),
         }
     }
 
--- a/src/entry/quarantine/message.rs
+++ b/src/entry/quarantine/message.rs
@@ -6,14 +6,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum QuarantineMessage {
     /// A server crashed while it processed these requests. Sent to the suspect trackers.
-    Ended(ServerEnd),
+    #[serde(rename = "Ended")]
+    Crashed(ServerCrash),
     /// What the sender knows about suspects. Sent to all hosts.
     Records(Vec<SuspectRecord>),
 }
 
 /// The crash of one server and the requests that were in flight on it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct ServerEnd {
+pub struct ServerCrash {
     /// Hash of the server's identity.
     pub server: u64,
     /// The requests in flight when the server crashed.
@@ -27,11 +28,13 @@
     pub fingerprint: RequestFingerprint,
     /// Hashes of the servers that crashed while processing it, sorted. Holds no more than are
     /// needed to block the request, and none once it is cleared.
-    pub ended: Vec<u64>,
+    #[serde(rename = "ended")]
+    pub crashed_servers: Vec<u64>,
     /// Whether a server has answered it successfully.
     pub cleared: bool,
     /// Number of probes sent since it was blocked.
-    pub trials: u32,
+    #[serde(rename = "trials")]
+    pub probes: u32,
     /// Time since the last observation of the request, in seconds.
     pub age_s: u32,
 }
@@ -54,11 +57,11 @@
     /// use ledgespool::entry::quarantine::message::QuarantineDigest;
     /// let none = QuarantineDigest::default();
     /// let one = QuarantineDigest { count: 1, hash: 7 };
-    /// assert!(none.may_lack(&one));
-    /// assert!(!one.may_lack(&none) && !one.may_lack(&one));
+    /// assert!(none.may_miss(&one));
+    /// assert!(!one.may_miss(&none) && !one.may_miss(&one));
     /// ```
     #[must_use]
-    pub fn may_lack(&self, other: &Self) -> bool {
+    pub fn may_miss(&self, other: &Self) -> bool {
         self != other && other.count >= self.count
     }
 }
--- a/src/entry/quarantine/stored.rs
+++ b/src/entry/quarantine/stored.rs
@@ -16,9 +16,9 @@
 /// use ledgespool::entry::quarantine::{message::SuspectRecord, stored::StoredSuspect};
 /// let record = SuspectRecord {
 ///     fingerprint: RequestFingerprint(u64::MAX),
-///     ended: vec![1, 2, u64::MAX],
+///     crashed_servers: vec![1, 2, u64::MAX],
 ///     cleared: false,
-///     trials: 0,
+///     probes: 0,
 ///     age_s: 0,
 /// };
 /// let stored = StoredSuspect::from_record(&record, 1_700_000_000_000);
@@ -38,7 +38,7 @@
     /// Creates the entry for a record that was blocked at `unix_ms`.
     #[must_use]
     pub fn from_record(record: &SuspectRecord, unix_ms: u64) -> Self {
-        let ended = record.ended.iter();
+        let ended = record.crashed_servers.iter();
         Self {
             fingerprint: record.fingerprint.to_string(),
             ended: ended.map(|server| format!("{server:016x}")).collect(),
@@ -58,9 +58,9 @@
         let ended = self.ended.iter().map(|server| parse_hash(server));
         Some(SuspectRecord {
             fingerprint: RequestFingerprint(parse_hash(&self.fingerprint)?),
-            ended: ended.collect::<Option<_>>()?,
+            crashed_servers: ended.collect::<Option<_>>()?,
             cleared: false,
-            trials: 0,
+            probes: 0,
             age_s: 0,
         })
     }
--- a/src/entry/quarantine/table.rs
+++ b/src/entry/quarantine/table.rs
@@ -46,12 +46,12 @@
 #[derive(Debug, Clone)]
 struct SuspectEntry {
     /// Hashes of the servers that crashed while processing it, sorted.
-    ended: Vec<u64>,
+    crashed_servers: Vec<u64>,
     cleared: bool,
     /// Time of the last observation.
     last_seen: Moment,
     /// Number of regular probes since it was blocked.
-    trials: u32,
+    probes: u32,
     /// Whether this host has sent its early probe.
     early_probe_sent: bool,
     /// When it was blocked on this host or last probed; the delay until the next probe starts here.
@@ -60,7 +60,7 @@
 
 impl SuspectEntry {
     fn state(&self) -> SuspectState {
-        match self.ended.len() {
+        match self.crashed_servers.len() {
             _ if self.cleared => SuspectState::Cleared,
             SERVERS_TO_BLOCK.. => SuspectState::Blocked,
             SERVERS_TO_ANNOUNCE.. => SuspectState::Announced,
@@ -83,14 +83,14 @@
 
     /// Adds crashed servers and returns whether any of them is new.
     fn add_servers(&mut self, servers: &[u64]) -> bool {
-        let before = self.ended.len();
+        let before = self.crashed_servers.len();
         for server in servers {
-            if let Err(place) = self.ended.binary_search(server) {
-                self.ended.insert(place, *server);
+            if let Err(place) = self.crashed_servers.binary_search(server) {
+                self.crashed_servers.insert(place, *server);
             }
         }
-        self.ended.truncate(SERVERS_TO_BLOCK);
-        self.ended.len() > before
+        self.crashed_servers.truncate(SERVERS_TO_BLOCK);
+        self.crashed_servers.len() > before
     }
 
     /// Returns the probe that is due, if any. `shares_crash` tells whether the request shares a
@@ -106,19 +106,19 @@
         }
         let elapsed_ms = now.since(self.waiting_since);
         let wait_ms =
-            FIRST_PROBE_DELAY_MS.saturating_mul(PROBE_BACKOFF_FACTOR.saturating_pow(self.trials));
+            FIRST_PROBE_DELAY_MS.saturating_mul(PROBE_BACKOFF_FACTOR.saturating_pow(self.probes));
         if elapsed_ms >= wait_ms {
             return Some(DueProbe::Regular);
         }
         let early_ms = EARLY_PROBE_DELAY_MS + fingerprint.0 % EARLY_PROBE_SPREAD_MS;
-        let may_probe_early = shares_crash && self.trials == 0 && !self.early_probe_sent;
+        let may_probe_early = shares_crash && self.probes == 0 && !self.early_probe_sent;
         (may_probe_early && elapsed_ms >= early_ms).then_some(DueProbe::Early)
     }
 
     /// Marks it as cleared and drops the crashed servers, which no longer matter.
     fn clear(&mut self, now: Moment) {
         self.cleared = true;
-        self.ended.clear();
+        self.crashed_servers.clear();
         self.last_seen = now;
     }
 
@@ -126,9 +126,9 @@
         let age_s = now.since(self.last_seen) / 1_000;
         SuspectRecord {
             fingerprint,
-            ended: self.ended.clone(),
+            crashed_servers: self.crashed_servers.clone(),
             cleared: self.cleared,
-            trials: self.trials,
+            probes: self.probes,
             age_s: u32::try_from(age_s).unwrap_or(u32::MAX),
         }
     }
@@ -139,14 +139,14 @@
     fn hash(&self, fingerprint: RequestFingerprint) -> u64 {
         let state = self.state();
         let servers = match state {
-            SuspectState::Tracked | SuspectState::Announced => self.ended.as_slice(),
+            SuspectState::Tracked | SuspectState::Announced => self.crashed_servers.as_slice(),
             SuspectState::Blocked | SuspectState::Cleared => &[],
         };
-        let trials = match state {
-            SuspectState::Blocked => u64::from(self.trials) << 8,
+        let probes = match state {
+            SuspectState::Blocked => u64::from(self.probes) << 8,
             SuspectState::Tracked | SuspectState::Announced | SuspectState::Cleared => 0,
         };
-        let seed = hash::mix(hash::mix(fingerprint.0) ^ trials ^ state as u64);
+        let seed = hash::mix(hash::mix(fingerprint.0) ^ probes ^ state as u64);
         let servers = servers.iter();
         servers.fold(seed, |hash, server| hash::mix(hash ^ server))
     }
@@ -212,9 +212,9 @@
     ) -> SuspectChange {
         let record = SuspectRecord {
             fingerprint,
-            ended: vec![server],
+            crashed_servers: vec![server],
             cleared: false,
-            trials: 0,
+            probes: 0,
             age_s: 0,
         };
         if !self.merge(&record, now) {
@@ -256,7 +256,7 @@
         let entry = self.entries.get_mut(&fingerprint)?;
         match entry.due_probe(fingerprint, shares_crash, now)? {
             DueProbe::Early => entry.early_probe_sent = true,
-            DueProbe::Regular => entry.trials += 1,
+            DueProbe::Regular => entry.probes += 1,
         }
         entry.waiting_since = now;
         entry.last_seen = now;
@@ -276,9 +276,9 @@
         let mut barred = others.filter(|(_, other)| other.state() == SuspectState::Blocked);
         barred.any(|(_, other)| {
             other
-                .ended
+                .crashed_servers
                 .iter()
-                .any(|server| entry.ended.contains(server))
+                .any(|server| entry.crashed_servers.contains(server))
         })
     }
 
@@ -340,18 +340,18 @@
             .entries
             .entry(record.fingerprint)
             .or_insert(SuspectEntry {
-                ended: Vec::new(),
+                crashed_servers: Vec::new(),
                 cleared: false,
                 last_seen,
-                trials: 0,
+                probes: 0,
                 early_probe_sent: false,
                 waiting_since: now,
             });
-        let adds_servers = entry.add_servers(&record.ended);
-        if adds_servers || record.trials > entry.trials {
+        let adds_servers = entry.add_servers(&record.crashed_servers);
+        if adds_servers || record.probes > entry.probes {
             entry.waiting_since = now;
         }
-        entry.trials = entry.trials.max(record.trials);
+        entry.probes = entry.probes.max(record.probes);
         entry.last_seen = entry.last_seen.max(last_seen);
         if record.cleared {
             entry.clear(last_seen);
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -19,7 +19,7 @@
 use super::open_request::OpenRequest;
 use super::peer_message::PeerMessage;
 use super::pool::{self, ConnectFault};
-use super::quarantine::message::{QuarantineDigest, QuarantineMessage, ServerEnd, SuspectRecord};
+use super::quarantine::message::{QuarantineDigest, QuarantineMessage, ServerCrash, SuspectRecord};
 use super::quarantine::table::{QuarantineTable, SuspectChange, SuspectState};
 use super::quarantine::{
     MAX_RECORDS_PER_DATAGRAM, MAX_REQUESTS_PER_DATAGRAM, MAX_SUSPECTS, TRACKERS_PER_SUSPECT,
@@ -164,8 +164,8 @@
 /// Handles a message about suspects from another host.
 pub(super) fn on_message<W: WireProtocol>(host: &EntryHost<W>, message: &QuarantineMessage) {
     match message {
-        QuarantineMessage::Ended(end) => {
-            let _unannounced = host.record_crash(end);
+        QuarantineMessage::Crashed(crash) => {
+            let _unannounced = host.record_crash(crash);
         }
         QuarantineMessage::Records(records) => host.on_suspect_records(records, "peer"),
     }
@@ -240,11 +240,11 @@
         let fields = json!({ "server": server.id, "count": requests.len(), "requests": listed });
         self.note(EventCode::ServerEnded, fields);
         for chunk in requests.chunks(MAX_REQUESTS_PER_DATAGRAM) {
-            let end = ServerEnd {
+            let crash = ServerCrash {
                 server: server.hash,
                 requests: chunk.to_vec(),
             };
-            let unannounced = self.record_crash(&end);
+            let unannounced = self.record_crash(&crash);
             self.send_to_trackers(server.hash, &unannounced);
         }
     }
@@ -252,13 +252,13 @@
     /// Records a server's crash for each request that was in flight on it, and announces the
     /// suspects that all hosts must know. Returns the requests that only their suspect trackers
     /// need to know.
-    fn record_crash(&self, end: &ServerEnd) -> Vec<RequestFingerprint> {
+    fn record_crash(&self, crash: &ServerCrash) -> Vec<RequestFingerprint> {
         let now = self.now();
         let mut unannounced = Vec::new();
         let mut announced = Vec::new();
-        for fingerprint in &end.requests {
+        for fingerprint in &crash.requests {
             let mut table = self.quarantine.table.borrow_mut();
-            match table.on_crash(*fingerprint, end.server, now) {
+            match table.on_crash(*fingerprint, crash.server, now) {
                 SuspectChange::None => {}
                 SuspectChange::Tracked => unannounced.push(*fingerprint),
                 SuspectChange::Announce(record) => announced.push(record),
@@ -312,7 +312,7 @@
     fn log_suspect(&self, event: EventCode, record: &SuspectRecord, source: &str) {
         let fields = json!({
             "fingerprint": record.fingerprint.to_string(),
-            "servers_ended": record.ended.len(),
+            "servers_ended": record.crashed_servers.len(),
             "source": source,
         });
         self.note(event, fields);
@@ -347,7 +347,7 @@
         }
         drop(peers);
         for (tracker, requests) in by_tracker {
-            let message = QuarantineMessage::Ended(ServerEnd { server, requests });
+            let message = QuarantineMessage::Crashed(ServerCrash { server, requests });
             gossip::send(self, &PeerMessage::Quarantine(message), &[tracker]);
         }
     }
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -11,7 +11,7 @@
 use ledgespool::entry::fingerprint::RequestFingerprint;
 use ledgespool::entry::peer_message::{self, PeerMessage, WatchState};
 use ledgespool::entry::peers::{HostRecord, PeerTable};
-use ledgespool::entry::quarantine::message::{QuarantineMessage, ServerEnd, SuspectRecord};
+use ledgespool::entry::quarantine::message::{QuarantineMessage, ServerCrash, SuspectRecord};
 use ledgespool::entry::quarantine::table::{QuarantineTable, SuspectChange, SuspectState};
 use ledgespool::entry::quarantine::{
     CLEARED_TTL_MS, EARLY_PROBE_DELAY_MS, EARLY_PROBE_SPREAD_MS, FIRST_PROBE_DELAY_MS,
@@ -39,7 +39,7 @@
     assert_eq!(table.state_of(CRASHING), Some(SuspectState::Tracked));
     assert!(!table.has_announced() && table.records(START).is_empty());
     let change = table.on_crash(CRASHING, 2, START);
-    assert!(matches!(change, SuspectChange::Announce(record) if record.ended == [1, 2]));
+    assert!(matches!(change, SuspectChange::Announce(record) if record.crashed_servers == [1, 2]));
     assert_eq!(table.state_of(CRASHING), Some(SuspectState::Announced));
     // Another host reports the same crash.
     assert_eq!(table.on_crash(CRASHING, 2, START), SuspectChange::None);
@@ -101,14 +101,14 @@
     let mut table = table_after_crashes(&[1, 2, 3]);
     let first = START.plus(FIRST_PROBE_DELAY_MS);
     assert_eq!(table.take_probe(CRASHING, first.before(1)), None);
-    let probe = table.take_probe(CRASHING, first).expect("a probe is due");
-    assert_eq!(probe.trials, 1);
+    let record = table.take_probe(CRASHING, first).expect("a probe is due");
+    assert_eq!(record.probes, 1);
     assert!(
         table.is_blocked(CRASHING),
         "it stays blocked during the probe"
     );
     let mut other = table_after_crashes(&[1, 2, 3]);
-    other.on_record(&probe, first);
+    other.on_record(&record, first);
     assert_eq!(other.digest(), table.digest());
     let second = first.plus(FIRST_PROBE_DELAY_MS * PROBE_BACKOFF_FACTOR);
     for host in [&mut table, &mut other] {
@@ -146,8 +146,8 @@
         table.on_crash(OTHER, server, START);
     }
     let seconds = (0..3_600).map(|second| START.plus(second * 1_000));
-    let trials = seconds.filter(|now| table.take_probe(CRASHING, *now).is_some());
-    assert_eq!(trials.count(), 3);
+    let probes = seconds.filter(|now| table.take_probe(CRASHING, *now).is_some());
+    assert_eq!(probes.count(), 3);
 }
 
 /// A host that resumes after a suspension must not spread expired records to the others.
@@ -155,9 +155,9 @@
 fn expired_record_is_not_merged() {
     let record = SuspectRecord {
         fingerprint: CRASHING,
-        ended: vec![1, 2, 3],
+        crashed_servers: vec![1, 2, 3],
         cleared: false,
-        trials: 0,
+        probes: 0,
         age_s: (SUSPECT_TTL_MS / 1_000) as u32,
     };
     let mut table = QuarantineTable::default();
@@ -172,15 +172,15 @@
         prop::collection::btree_set(0_u64..6, 2..4),
         prop::bool::weighted(0.1),
     );
-    let record = record.prop_map(|(request, ended, cleared)| SuspectRecord {
+    let record = record.prop_map(|(request, crashed_servers, cleared)| SuspectRecord {
         fingerprint: RequestFingerprint(request),
-        ended: if cleared {
+        crashed_servers: if cleared {
             Vec::new()
         } else {
-            ended.into_iter().collect()
+            crashed_servers.into_iter().collect()
         },
         cleared,
-        trials: 0,
+        probes: 0,
         age_s: 0,
     });
     prop::collection::vec(record, 0..12)
@@ -232,7 +232,7 @@
         // Two heartbeats in each direction: the host with fewer records fetches first.
         for _ in 0..2 {
             for (requester, other) in [(0, 1), (1, 0)] {
-                if hosts[requester].digest().may_lack(&hosts[other].digest()) {
+                if hosts[requester].digest().may_miss(&hosts[other].digest()) {
                     for record in hosts[other].records(START) {
                         hosts[requester].on_record(&record, START);
                     }
@@ -307,18 +307,18 @@
     const FRAME_BYTES: usize = 1_400;
     let record = SuspectRecord {
         fingerprint: RequestFingerprint(u64::MAX),
-        ended: vec![u64::MAX; 3],
+        crashed_servers: vec![u64::MAX; 3],
         cleared: false,
-        trials: u32::MAX,
+        probes: u32::MAX,
         age_s: u32::MAX,
     };
-    let end = ServerEnd {
+    let crash = ServerCrash {
         server: u64::MAX,
         requests: vec![RequestFingerprint(u64::MAX); MAX_REQUESTS_PER_DATAGRAM],
     };
     let messages = [
         QuarantineMessage::Records(vec![record; MAX_RECORDS_PER_DATAGRAM]),
-        QuarantineMessage::Ended(end),
+        QuarantineMessage::Crashed(crash),
     ];
     for message in messages {
         let written = peer_message::to_bytes(&PeerMessage::Quarantine(message));
