--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -299,7 +299,7 @@
         let halls = snapshot.evacuated.iter().cloned().collect();
         host.on_evacuation_list(halls, snapshot.evacuation_revision);
     }
-    host.on_rollout_news(&snapshot.rollouts);
+    host.on_rollout_update(&snapshot.rollouts);
     if let Some(suspects) = &snapshot.suspects {
         host.on_suspect_records(suspects, &source);
         host.quarantine.on_loaded();
--- a/src/entry/fleet_server.rs
+++ b/src/entry/fleet_server.rs
@@ -8,7 +8,7 @@
 use super::server::{ServerLoad, ServerRecord, ServerState};
 use super::server_notice::{ServerNotice, ServerStanding};
 use super::shared_names::SharedNames;
-use crate::rollout::order::VersionTag;
+use crate::rollout::spec::VersionTag;
 use crate::timer::Moment;
 
 /// What other hosts had running when a server told its load counts for less with age; after this
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -295,7 +295,7 @@
     }
     host.on_limit_words(&heartbeat.server_limits, Some(source));
     host.on_leaving_told(&heartbeat.leaving_servers, &heartbeat.host);
-    host.on_rollout_news(&heartbeat.rollouts);
+    host.on_rollout_update(&heartbeat.rollouts);
     if heartbeat.ready && !heartbeat.leaving {
         join_asking::on_ready_heard(host, heartbeat);
     }
--- a/src/entry/packed_servers.rs
+++ b/src/entry/packed_servers.rs
@@ -4,7 +4,7 @@
 //! names of services and halls, which most servers share, are written once.
 
 use super::server::{ServerObject, ServerRecord, ServerState};
-use crate::rollout::order::VersionTag;
+use crate::rollout::spec::VersionTag;
 
 /// The servers of a list; names are given by their places.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
--- a/src/entry/peer_message.rs
+++ b/src/entry/peer_message.rs
@@ -10,7 +10,7 @@
 use super::quarantine::message::{QuarantineDigest, QuarantineMessage, SuspectRecord};
 use super::server::ServerObject;
 use super::server_limit::message::{LimitWord, ServerLimitMessage};
-use crate::rollout::message::{RolloutNews, RolloutReport};
+use crate::rollout::message::{RolloutReport, RolloutUpdate};
 
 /// The number of the format. Hosts pass over messages of another one, so that two versions of the
 /// program can run side by side while it is replaced.
@@ -122,7 +122,7 @@
     /// Some of the servers that say that they leave and of which the store does not tell yet, all in turn.
     pub leaving_servers: Vec<u64>,
     /// The orders to move a service's traffic.
-    pub rollouts: RolloutNews,
+    pub rollouts: RolloutUpdate,
     /// How many hosts it knows, itself included: one that knows fewer asks.
     pub known_hosts: u32,
     /// How many of them stand in its region.
@@ -265,7 +265,7 @@
     /// How many hosts each region has, as far as this one knows.
     pub region_sizes: Vec<RegionSize>,
     /// The orders to move a service's traffic.
-    pub rollouts: RolloutNews,
+    pub rollouts: RolloutUpdate,
 }
 
 /// How many entry hosts a region has.
--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -17,10 +17,10 @@
 use super::store::{ChangeBatch, ObjectContent, ObjectStore, StoreFault, StoredObject};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
-use crate::rollout::message::{RolloutAnswer, RolloutChange, RolloutNews, RolloutReport};
-use crate::rollout::order::{RolloutRecord, VersionTag};
+use crate::rollout::message::{RolloutAnswer, RolloutChange, RolloutReport, RolloutUpdate};
 use crate::rollout::plan::VersionRule;
 use crate::rollout::report_schedule;
+use crate::rollout::spec::{RolloutRecord, VersionTag};
 use crate::rollout::table::{RegionView, RolloutTable};
 use crate::timer::Moment;
 
@@ -41,8 +41,8 @@
 
 impl RolloutRole {
     /// The state that is sent to other hosts.
-    pub(super) fn news(&self, now: Moment) -> RolloutNews {
-        self.table.borrow().news(now)
+    pub(super) fn to_update(&self, now: Moment) -> RolloutUpdate {
+        self.table.borrow().to_update(now)
     }
 
     /// The store revision up to which the rollouts are current.
@@ -92,7 +92,7 @@
             match &change.object.content {
                 _ if change.deleted => table.on_gone(&change.object.name),
                 ObjectContent::Rollout(stored) => {
-                    table.on_order(stored.clone(), change.object.revision, now);
+                    table.on_rollout(stored.clone(), change.object.revision, now);
                 }
                 _ => {}
             }
@@ -112,9 +112,9 @@
     }
 
     /// Merges the state of another host. The rollout leader forwards changes to its region.
-    pub(super) fn on_rollout_news(&self, news: &RolloutNews) {
+    pub(super) fn on_rollout_update(&self, update: &RolloutUpdate) {
         let now = self.now();
-        let has_changed = self.rollouts.table.borrow_mut().on_news(news, now);
+        let has_changed = self.rollouts.table.borrow_mut().on_update(update, now);
         if has_changed && self.leads_rollouts(now) {
             gossip::announce(self);
         }
@@ -156,7 +156,7 @@
         self.rollouts.last_report.set(now);
         let table = self.rollouts.table.borrow();
         let running = table.running();
-        let running = running.map(|order| (order.service.clone(), order.target_tag()));
+        let running = running.map(|spec| (spec.service.clone(), spec.target_tag()));
         let running: Vec<_> = running.collect();
         drop(table);
         let leader = {
@@ -223,8 +223,8 @@
 
     fn log_rollout(&self, change: &RolloutChange) {
         let fields = json!({
-            "service": change.order.service,
-            "target": change.order.target,
+            "service": change.spec.service,
+            "target": change.spec.target,
             "step": change.step,
             "state": change.state,
         });
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -53,7 +53,7 @@
             quarantine: self.quarantine.digest(),
             server_limits: self.server_limits.words_in_turn(),
             leaving_servers: self.leaving_news.in_turn(),
-            rollouts: self.rollouts.news(self.now()),
+            rollouts: self.rollouts.to_update(self.now()),
             known_hosts,
             known_near,
             heard,
@@ -114,7 +114,7 @@
             hosts_listed: self.peers.borrow().is_listed(),
             suspects: self.quarantine.snapshot_records(self.now()),
             region_sizes: self.region_sizes(),
-            rollouts: self.rollouts.news(self.now()),
+            rollouts: self.rollouts.to_update(self.now()),
         }
     }
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -2,7 +2,7 @@
 
 use std::{cmp, net};
 
-use crate::rollout::order::VersionTag;
+use crate::rollout::spec::VersionTag;
 
 /// Whether a server takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -4,7 +4,7 @@
 use super::peers::HostRecord;
 use super::quarantine::stored::StoredSuspect;
 use super::server::{ServerObject, ServerRecord};
-use crate::rollout::order::{RolloutRecord, StoredRollout};
+use crate::rollout::spec::{RolloutRecord, StoredRollout};
 
 /// The kinds of object that an entry host follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/src/rollout/message.rs
+++ b/src/rollout/message.rs
@@ -1,14 +1,15 @@
 //! Messages between hosts about rollouts, and the results of requests that rollouts depend on.
 
-use super::order::{RolloutOrder, RolloutState, VersionTag};
 use super::plan::RolloutStep;
+use super::spec::{RolloutSpec, RolloutState, VersionTag};
 use super::tally::ServiceTally;
 
 /// The progress of one rollout, as sent between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RolloutProgress {
     /// What the operator requested.
-    pub order: RolloutOrder,
+    #[serde(rename = "order")]
+    pub spec: RolloutSpec,
     /// The store revision of the object's last change.
     pub revision: u64,
     /// Time since a host first saw the rollout, in milliseconds.
@@ -21,11 +22,12 @@
 
 /// All rollouts, as sent between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutUpdate {
     /// The store revision up to which the list is current; 0 if it was never read.
     pub position: u64,
     /// The progress of each rollout.
-    pub orders: Vec<RolloutProgress>,
+    #[serde(rename = "orders")]
+    pub rollouts: Vec<RolloutProgress>,
 }
 
 /// The counts of one host, or of all hosts of a region, since the start of a rollout.
@@ -49,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutChange {
     /// What the operator requested.
-    pub order: RolloutOrder,
+    pub spec: RolloutSpec,
     /// How far the traffic is to move.
     pub step: RolloutStep,
     /// The decision.
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -8,9 +8,9 @@
 //! time; `entry::rollout_role` connects it to sockets, clock and store.
 
 pub mod message;
-pub mod order;
 pub mod plan;
 pub mod report_schedule;
+pub mod spec;
 pub mod table;
 pub mod tally;
 mod tracked_rollout;
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -1,6 +1,6 @@
 //! The share of a service's requests that a new version gets at each step of a rollout.
 
-use super::order::VersionTag;
+use super::spec::VersionTag;
 
 /// Share of requests in the first step, relative to the share that a bad version may get over
 /// the whole rollout.
@@ -93,7 +93,7 @@
     /// Returns whether servers of `version` may get the request.
     ///
     /// ```
-    /// use ledgespool::rollout::order::VersionTag;
+    /// use ledgespool::rollout::spec::VersionTag;
     /// use ledgespool::rollout::plan::VersionRule;
     /// let (old, new) = (VersionTag::of_name("v1"), VersionTag::of_name("v2"));
     /// assert!(VersionRule::Only(new).allows(new) && !VersionRule::Only(new).allows(old));
--- a/src/rollout/order.rs
+++ b/src/rollout/spec.rs
@@ -13,7 +13,7 @@
     /// Computes the tag of a version name.
     ///
     /// ```
-    /// use ledgespool::rollout::order::VersionTag;
+    /// use ledgespool::rollout::spec::VersionTag;
     /// assert_ne!(VersionTag::of_name("v1"), VersionTag::of_name("v2"));
     /// ```
     #[must_use]
@@ -25,7 +25,7 @@
 
 /// A request by the operator to move the traffic of a service to another version.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct RolloutOrder {
+pub struct RolloutSpec {
     /// The object's name in the store.
     pub name: String,
     /// The service.
@@ -39,7 +39,7 @@
     pub created: u64,
 }
 
-impl RolloutOrder {
+impl RolloutSpec {
     /// The tag of the target version.
     #[must_use]
     pub fn target_tag(&self) -> VersionTag {
@@ -70,7 +70,7 @@
     /// Returns whether the rollout is finished.
     ///
     /// ```
-    /// use ledgespool::rollout::order::RolloutState;
+    /// use ledgespool::rollout::spec::RolloutState;
     /// assert!(RolloutState::Reverted.is_final() && !RolloutState::Running.is_final());
     /// ```
     #[must_use]
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRollout {
     /// What the operator requested.
-    pub order: RolloutOrder,
+    pub spec: RolloutSpec,
     /// The last recorded state; `None` if none was recorded yet.
     pub state: Option<RolloutState>,
 }
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutRecord {
     /// What the operator requested.
-    pub order: RolloutOrder,
+    pub spec: RolloutSpec,
     /// The state to record.
     pub state: RolloutState,
     /// The object's expected store revision; the write fails if the object has changed since.
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -2,10 +2,10 @@
 
 use std::collections;
 
-use super::message::{RolloutAnswer, RolloutChange, RolloutNews, RolloutReport};
-use super::order::{RolloutOrder, RolloutRecord, RolloutState, StoredRollout};
+use super::message::{RolloutAnswer, RolloutChange, RolloutReport, RolloutUpdate};
 use super::plan::{RolloutStep, VersionRule};
 use super::report_schedule::DecisionInputs;
+use super::spec::{RolloutRecord, RolloutSpec, RolloutState, StoredRollout};
 use super::tracked_rollout::TrackedRollout;
 use crate::timer::Moment;
 
@@ -57,22 +57,22 @@
     pub fn on_list(&mut self, stored: Vec<(StoredRollout, u64)>, position: u64, now: Moment) {
         let services: collections::BTreeSet<String> = stored
             .iter()
-            .map(|(stored, _)| stored.order.service.clone())
+            .map(|(stored, _)| stored.spec.service.clone())
             .collect();
         self.rollouts
             .retain(|service, _| services.contains(service));
         for (stored, revision) in stored {
-            self.on_order(stored, revision, now);
+            self.on_rollout(stored, revision, now);
         }
         self.position = position;
     }
 
     /// Applies one rollout as read from the store. It replaces an older rollout of the same
     /// service.
-    pub fn on_order(&mut self, stored: StoredRollout, revision: u64, now: Moment) {
-        let service = stored.order.service.clone();
+    pub fn on_rollout(&mut self, stored: StoredRollout, revision: u64, now: Moment) {
+        let service = stored.spec.service.clone();
         if let Some(known) = self.rollouts.get_mut(&service) {
-            if known.order.is_same(&stored.order) {
+            if known.spec.is_same(&stored.spec) {
                 known.revision = known.revision.max(revision);
                 known.on_stored(stored.state, now);
                 return;
@@ -87,8 +87,7 @@
 
     /// Removes a rollout that was deleted from the store.
     pub fn on_gone(&mut self, name: &str) {
-        self.rollouts
-            .retain(|_, rollout| rollout.order.name != name);
+        self.rollouts.retain(|_, rollout| rollout.spec.name != name);
     }
 
     /// Records the store revision up to which the rollouts are current.
@@ -98,33 +97,33 @@
 
     /// The state that is sent to other hosts.
     #[must_use]
-    pub fn news(&self, now: Moment) -> RolloutNews {
+    pub fn to_update(&self, now: Moment) -> RolloutUpdate {
         let rollouts = self.rollouts.values();
-        RolloutNews {
+        RolloutUpdate {
             position: self.position,
-            orders: rollouts.map(|rollout| rollout.progress(now)).collect(),
+            rollouts: rollouts.map(|rollout| rollout.progress(now)).collect(),
         }
     }
 
     /// Merges the state of another host; returns whether the number of rollouts has changed or a
     /// rollout has advanced.
-    pub fn on_news(&mut self, news: &RolloutNews, now: Moment) -> bool {
+    pub fn on_update(&mut self, update: &RolloutUpdate, now: Moment) -> bool {
         let mut has_changed = false;
-        if news.position > self.position {
-            let received = news.orders.iter().map(|received| {
+        if update.position > self.position {
+            let received = update.rollouts.iter().map(|received| {
                 let stored = StoredRollout {
-                    order: received.order.clone(),
+                    spec: received.spec.clone(),
                     state: None,
                 };
                 (stored, received.revision)
             });
             let before = self.rollouts.len();
-            self.on_list(received.collect(), news.position, now);
+            self.on_list(received.collect(), update.position, now);
             has_changed = self.rollouts.len() != before;
         }
-        for received in &news.orders {
-            if let Some(rollout) = self.rollouts.get_mut(&received.order.service)
-                && rollout.order.is_same(&received.order)
+        for received in &update.rollouts {
+            if let Some(rollout) = self.rollouts.get_mut(&received.spec.service)
+                && rollout.spec.is_same(&received.spec)
             {
                 rollout.started_at = rollout.started_at.min(now.before(received.age_ms));
                 has_changed |= rollout.advance(received.step, received.state, now);
@@ -148,7 +147,7 @@
         let Some(rollout) = self.rollouts.get(service) else {
             return VersionRule::Any;
         };
-        let target = rollout.order.target_tag();
+        let target = rollout.spec.target_tag();
         let is_over = now.since(rollout.state_since) > STOP_GRACE_MS;
         if rollout.state == RolloutState::Complete && is_over {
             return VersionRule::Any;
@@ -172,7 +171,7 @@
         if let Some(rollout) = self.rollouts.get_mut(service)
             && rollout.state == RolloutState::Running
         {
-            let is_target = answer.version == rollout.order.target_tag();
+            let is_target = answer.version == rollout.spec.target_tag();
             rollout
                 .own_tally
                 .on_answer(answer.route, is_target, answer.is_bad);
@@ -180,10 +179,10 @@
     }
 
     /// The rollouts that are in progress.
-    pub fn running(&self) -> impl Iterator<Item = &RolloutOrder> {
+    pub fn running(&self) -> impl Iterator<Item = &RolloutSpec> {
         let running = self.rollouts.values();
         let running = running.filter(|rollout| rollout.state == RolloutState::Running);
-        running.map(|rollout| &rollout.order)
+        running.map(|rollout| &rollout.spec)
     }
 
     /// The counts of this host for the region's rollout leader; `None` if no report is due. `hosts`
@@ -209,7 +208,7 @@
         Some(RolloutReport {
             source,
             service: service.to_owned(),
-            created: rollout.order.created,
+            created: rollout.spec.created,
             tally: rollout.own_tally.for_report(),
             others_open,
             step: rollout.step,
@@ -231,7 +230,7 @@
         Some(RolloutReport {
             source,
             service: service.to_owned(),
-            created: rollout.order.created,
+            created: rollout.spec.created,
             tally: tally.for_report(),
             others_open: view.others_open(rollout, now),
             step: rollout.step,
@@ -254,7 +253,7 @@
 
     fn rollout_of(&mut self, report: &RolloutReport) -> Option<&mut TrackedRollout> {
         let rollout = self.rollouts.get_mut(&report.service)?;
-        (rollout.order.created == report.created).then_some(rollout)
+        (rollout.spec.created == report.created).then_some(rollout)
     }
 
     /// Decides on a rollout as the leader of the region; `None` if nothing changes.
@@ -269,9 +268,9 @@
             return None;
         }
         let state = rollout.evaluate(view.others_open(rollout, now), view.regions, now);
-        let step = RolloutStep::due(now.since(rollout.started_at), rollout.order.over_ms);
+        let step = RolloutStep::due(now.since(rollout.started_at), rollout.spec.over_ms);
         rollout.advance(step, state, now).then(|| RolloutChange {
-            order: rollout.order.clone(),
+            spec: rollout.spec.clone(),
             step: rollout.step,
             state: rollout.state,
         })
@@ -289,7 +288,7 @@
         });
         unrecorded
             .map(|rollout| RolloutRecord {
-                order: rollout.order.clone(),
+                spec: rollout.spec.clone(),
                 state: rollout.state,
                 revision: rollout.revision,
             })
@@ -298,8 +297,8 @@
 
     /// Notes that a state was recorded, which changed the object's store revision to `revision`.
     pub fn on_recorded(&mut self, record: &RolloutRecord, revision: u64, now: Moment) {
-        if let Some(rollout) = self.rollouts.get_mut(&record.order.service)
-            && rollout.order.is_same(&record.order)
+        if let Some(rollout) = self.rollouts.get_mut(&record.spec.service)
+            && rollout.spec.is_same(&record.spec)
         {
             rollout.on_stored(Some(record.state), now);
             rollout.revision = rollout.revision.max(revision);
--- a/src/rollout/tracked_rollout.rs
+++ b/src/rollout/tracked_rollout.rs
@@ -3,9 +3,9 @@
 use std::collections;
 
 use super::message::{RolloutProgress, RolloutReport};
-use super::order::{RolloutOrder, RolloutState, StoredRollout};
 use super::plan::{LAST_CALL, PROVED_FOR, RolloutStep};
 use super::report_schedule::{self, ReportSchedule};
+use super::spec::{RolloutSpec, RolloutState, StoredRollout};
 use super::tally::ServiceTally;
 use crate::timer::Moment;
 
@@ -54,7 +54,7 @@
 /// One rollout and its progress.
 #[derive(Debug)]
 pub(super) struct TrackedRollout {
-    pub(super) order: RolloutOrder,
+    pub(super) spec: RolloutSpec,
     pub(super) revision: u64,
     pub(super) started_at: Moment,
     pub(super) step: RolloutStep,
@@ -79,7 +79,7 @@
     ) -> Self {
         let state = stored.state.unwrap_or(RolloutState::Running);
         Self {
-            order: stored.order,
+            spec: stored.spec,
             revision,
             started_at,
             step: RolloutStep::default(),
@@ -128,7 +128,7 @@
 
     pub(super) fn progress(&self, now: Moment) -> RolloutProgress {
         RolloutProgress {
-            order: self.order.clone(),
+            spec: self.spec.clone(),
             revision: self.revision,
             age_ms: now.since(self.started_at),
             step: self.step,
@@ -149,8 +149,8 @@
         if tally.shows_bad() {
             return RolloutState::Reverted;
         }
-        let age = now.since(self.started_at) as f64 / self.order.over_ms.max(1) as f64;
-        let bake_ms = self.order.over_ms as f64 * PROVED_FOR;
+        let age = now.since(self.started_at) as f64 / self.spec.over_ms.max(1) as f64;
+        let bake_ms = self.spec.over_ms as f64 * PROVED_FOR;
         let is_baked = self
             .all_since
             .is_some_and(|since| now.since(since) as f64 >= bake_ms);
--- a/tests/common/peer_records.rs
+++ b/tests/common/peer_records.rs
@@ -34,7 +34,7 @@
         evacuated: Vec::new(),
         quarantine: ledgespool::entry::quarantine::message::QuarantineDigest::default(),
         leaving_servers: Vec::new(),
-        rollouts: ledgespool::rollout::message::RolloutNews::default(),
+        rollouts: ledgespool::rollout::message::RolloutUpdate::default(),
         server_limits: Vec::new(),
         known_hosts: 1,
         known_near: 1,
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -9,7 +9,7 @@
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectChange, ObjectContent, StoredObject};
-use ledgespool::rollout::order::VersionTag;
+use ledgespool::rollout::spec::VersionTag;
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
--- a/tests/entry_fleet_size.rs
+++ b/tests/entry_fleet_size.rs
@@ -10,7 +10,7 @@
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectChange, ObjectContent, StoredObject};
-use ledgespool::rollout::order::VersionTag;
+use ledgespool::rollout::spec::VersionTag;
 use ledgespool::timer::Moment;
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
--- a/tests/entry_restart.rs
+++ b/tests/entry_restart.rs
@@ -13,7 +13,7 @@
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectChange, ObjectContent, StoredObject};
-use ledgespool::rollout::order::VersionTag;
+use ledgespool::rollout::spec::VersionTag;
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -3,8 +3,8 @@
 
 use ledgespool::entry::hash;
 use ledgespool::rollout::message::RolloutAnswer;
-use ledgespool::rollout::order::{RolloutOrder, RolloutState, StoredRollout, VersionTag};
 use ledgespool::rollout::plan::{RolloutStep, VersionRule};
+use ledgespool::rollout::spec::{RolloutSpec, RolloutState, StoredRollout, VersionTag};
 use ledgespool::rollout::table::{RegionView, RolloutTable};
 use ledgespool::timer::Moment;
 use rand::rngs::SmallRng;
@@ -25,7 +25,7 @@
 
 fn stored(state: Option<RolloutState>) -> StoredRollout {
     StoredRollout {
-        order: RolloutOrder {
+        spec: RolloutSpec {
             name: "desk".to_owned(),
             service: "desk".to_owned(),
             target: "v2".to_owned(),
@@ -200,15 +200,15 @@
             let leader = &mut self.tables[region][0];
             let _change = leader.decide("desk", view, now);
             let report = leader.region_report("desk", region as u64, view, now);
-            let news = leader.news(now);
+            let update = leader.to_update(now);
             for (other, tables) in self.tables.iter_mut().enumerate() {
                 if other != region {
                     tables[0].on_region_report(report.clone().expect("an order"), now);
-                    tables[0].on_news(&news, now);
+                    tables[0].on_update(&update, now);
                     continue;
                 }
                 for table in &mut tables[1..] {
-                    table.on_news(&news, now);
+                    table.on_update(&update, now);
                 }
             }
         }
@@ -235,7 +235,7 @@
     /// The final state, once all regions have reached it.
     fn final_state(&self, now: Moment) -> Option<RolloutState> {
         let states = self.tables.iter();
-        let mut states = states.map(|tables| tables[0].news(now).orders[0].state);
+        let mut states = states.map(|tables| tables[0].to_update(now).rollouts[0].state);
         let first = states.next().filter(|state| state.is_final())?;
         states.all(|state| state == first).then_some(first)
     }
@@ -306,10 +306,10 @@
 fn recorded_final_state_overrides_reports_of_hosts() {
     let mut table = RolloutTable::default();
     table.on_list(vec![(stored(None), 8)], 8, Moment(0));
-    let mut received = table.news(Moment(1));
-    received.orders[0].state = RolloutState::Reverted;
-    table.on_order(stored(Some(RolloutState::Complete)), 9, Moment(2));
-    table.on_news(&received, Moment(3));
+    let mut received = table.to_update(Moment(1));
+    received.rollouts[0].state = RolloutState::Reverted;
+    table.on_rollout(stored(Some(RolloutState::Complete)), 9, Moment(2));
+    table.on_update(&received, Moment(3));
     let rule = table.rule_of("desk", 0.99, CANARY_SHARE, false, Moment(3));
     assert_eq!(rule, VersionRule::Only(version("v2")));
     assert!(table.unrecorded(0, Moment(4)).is_empty());
@@ -344,10 +344,13 @@
     };
     let _change = first.decide("desk", view, Moment(ROLLOUT_MS * 9 / 10));
     let mut second = RolloutTable::default();
-    second.on_news(&first.news(Moment(ROLLOUT_MS * 9 / 10)), Moment(20_000));
-    let news = second.news(Moment(20_000));
-    assert_eq!(news.orders[0].step, RolloutStep::All);
-    assert_eq!(news.orders[0].age_ms, ROLLOUT_MS * 9 / 10);
+    second.on_update(
+        &first.to_update(Moment(ROLLOUT_MS * 9 / 10)),
+        Moment(20_000),
+    );
+    let update = second.to_update(Moment(20_000));
+    assert_eq!(update.rollouts[0].step, RolloutStep::All);
+    assert_eq!(update.rollouts[0].age_ms, ROLLOUT_MS * 9 / 10);
 }
 
 /// Servers of a third version may join later without a rollout, as in a release.
