--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -39,7 +39,7 @@
         // What comes within the route's goal is good, however fast others are.
         let is_slow = !server.is_cold(now)
             && took_ms > self.open.route.goal_ms
-            && took_ms as f64 > expected_ms * rollout_role::SLOW_FACTOR;
+            && took_ms as f64 > expected_ms * rollout_role::SLOW_ANSWER_FACTOR;
         let is_bad = match end {
             OfferEnd::Answered(answer) => answer.head.status.is_server_error() || is_slow,
             OfferEnd::TimedOut | OfferEnd::Lost(_) => true,
--- a/src/entry/quarantine/mod.rs
+++ b/src/entry/quarantine/mod.rs
@@ -8,16 +8,17 @@
 //! A request is identified by its [fingerprint](super::fingerprint). When the connection to a
 //! server breaks while requests are in flight and the server refuses the next connection, the
 //! server has crashed. Each of those requests becomes a suspect: one caused the crash, the others
-//! are bystanders. The first crash is sent to [`TRACKERS_PER_SUSPECT`] suspect trackers, hosts chosen by the
-//! fingerprint, so that the crash of a whole hall costs a few datagrams per request instead of one
-//! per host. From the second crashed server on ([`SERVERS_TO_ANNOUNCE`]) all hosts know the suspect,
-//! and from the third on ([`SERVERS_TO_BLOCK`]) no host sends it. A success clears it on all hosts: a
-//! request that one server can process did not crash the others.
+//! are bystanders. The first crash is sent to [`TRACKERS_PER_SUSPECT`] suspect trackers, hosts
+//! chosen by the fingerprint, so that the crash of a whole hall costs a few datagrams per request
+//! instead of one per host. From the second crashed server on ([`SERVERS_TO_ANNOUNCE`]) all hosts
+//! know the suspect, and from the third on ([`SERVERS_TO_BLOCK`]) no host sends it. A success
+//! clears it on all hosts: a request that one server can process did not crash the others.
 //!
 //! A harmless request can be blocked too, for example when a hall loses power while processing it.
-//! After [`FIRST_PROBE_DELAY_MS`], and then at growing intervals, one host probes a single server with
-//! the request, and a success clears it. A likely bystander, which shares a crashed server with
-//! another blocked request, is requested often and gets its first probe after [`EARLY_PROBE_DELAY_MS`].
+//! After [`FIRST_PROBE_DELAY_MS`], and then at growing intervals, one host probes a single server
+//! with the request, and a success clears it. A likely bystander, which shares a crashed server
+//! with another blocked request, is requested often and gets its first probe after
+//! [`EARLY_PROBE_DELAY_MS`].
 //!
 //! Merging records is commutative and idempotent ([`table::QuarantineTable`]), and heartbeats carry
 //! a digest of them, so a host that was partitioned, suspended or started later detects what it is
--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -25,7 +25,7 @@
 use crate::timer::Moment;
 
 /// Multiple of the expected time from which on an answer that also misses its goal counts as bad.
-pub(super) const SLOW_FACTOR: f64 = 3.0;
+pub(super) const SLOW_ANSWER_FACTOR: f64 = 3.0;
 /// Delay between one region's leader and the next before they record a state in the store, in
 /// milliseconds. Because of it one call is usually enough.
 const RECORD_STAGGER_MS: u64 = 1_000;
@@ -90,7 +90,7 @@
         let mut table = self.rollouts.table.borrow_mut();
         for change in &batch.changes {
             match &change.object.content {
-                _ if change.deleted => table.on_gone(&change.object.name),
+                _ if change.deleted => table.on_deleted(&change.object.name),
                 ObjectContent::Rollout(stored) => {
                     table.on_rollout(stored.clone(), change.object.revision, now);
                 }
@@ -138,7 +138,7 @@
             None => rand::Rng::random(&mut *self.random.borrow_mut()),
         };
         let canary_share = self.settings().bounds.canary_share.unwrap_or(0.0);
-        table.rule_of(service, point, canary_share, is_retry, self.now())
+        table.version_rule(service, point, canary_share, is_retry, self.now())
     }
 
     fn leads_rollouts(&self, now: Moment) -> bool {
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -15,10 +15,10 @@
 const STEP_STARTS: [f64; 3] = [0.7, 0.76, 0.8];
 /// Fraction of the rollout's time for which the new version gets all requests before the rollout
 /// completes. It is long enough for the answers to show that the version turned bad.
-pub const PROVED_FOR: f64 = 0.09;
+pub const BAKE_TIME_FRACTION: f64 = 0.09;
 /// Fraction of the rollout's time after which it no longer waits for requests on servers of other
 /// versions. These servers are stopped on completion and should have no requests in flight by then.
-pub const LAST_CALL: f64 = 0.95;
+pub const DRAIN_DEADLINE_FRACTION: f64 = 0.95;
 
 /// How much of a service's traffic has moved.
 #[derive(
--- a/src/rollout/report_schedule.rs
+++ b/src/rollout/report_schedule.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) struct DecisionInputs {
     /// Number of bad answers of the new version.
-    pub(super) target_bad: u32,
+    pub(super) target_bad_count: u32,
     /// Number of requests in flight on servers of other versions.
     pub(super) others_open: u32,
     /// How far the traffic has moved.
@@ -66,7 +66,8 @@
     /// ended since the previous report.
     fn may_change_decision(self, previous: Self) -> bool {
         let is_drained = self.step == RolloutStep::All && self.others_open == 0;
-        self.target_bad > previous.target_bad || (is_drained && previous.others_open > 0)
+        self.target_bad_count > previous.target_bad_count
+            || (is_drained && previous.others_open > 0)
     }
 }
 
--- a/src/rollout/table.rs
+++ b/src/rollout/table.rs
@@ -86,7 +86,7 @@
     }
 
     /// Removes a rollout that was deleted from the store.
-    pub fn on_gone(&mut self, name: &str) {
+    pub fn on_deleted(&mut self, name: &str) {
         self.rollouts.retain(|_, rollout| rollout.spec.name != name);
     }
 
@@ -136,7 +136,7 @@
     /// (exclusive) that is the same for all requests for the same object. `is_retry` is set for a
     /// retry after a server failed the request.
     #[must_use]
-    pub fn rule_of(
+    pub fn version_rule(
         &self,
         service: &str,
         point: f64,
@@ -198,7 +198,7 @@
     ) -> Option<RolloutReport> {
         let rollout = self.rollouts.get_mut(service)?;
         let inputs = DecisionInputs {
-            target_bad: rollout.own_tally.target_bad(),
+            target_bad_count: rollout.own_tally.target_bad_count(),
             others_open,
             step: rollout.step,
         };
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -4,7 +4,7 @@
 use std::collections;
 
 /// Maximum number of routes in a report, which has to fit into one datagram.
-pub const REPORTED_ROUTES: usize = 16;
+pub const MAX_REPORTED_ROUTES: usize = 16;
 /// Minimum number of bad answers before a version is considered bad.
 const MIN_BAD_ANSWERS: u32 = 8;
 /// A version is bad if its share of bad answers exceeds that of the other versions times this
@@ -94,7 +94,7 @@
 
     /// Number of bad answers of the new version.
     #[must_use]
-    pub fn target_bad(&self) -> u32 {
+    pub fn target_bad_count(&self) -> u32 {
         let routes = self.routes.values();
         routes.map(|tally| tally.target.bad).sum()
     }
@@ -108,10 +108,10 @@
     ///     tally.on_answer("read", true, number % 2 == 0);
     ///     tally.on_answer("read", false, false);
     /// }
-    /// assert!(tally.shows_bad());
+    /// assert!(tally.is_target_bad());
     /// ```
     #[must_use]
-    pub fn shows_bad(&self) -> bool {
+    pub fn is_target_bad(&self) -> bool {
         let mut all = RouteTally::default();
         for tally in self.routes.values() {
             all.add(tally);
@@ -119,16 +119,16 @@
         all.is_bad() || self.routes.values().any(RouteTally::is_bad)
     }
 
-    /// Returns the counts to put into a report. If there are more than [`REPORTED_ROUTES`] routes,
-    /// it keeps those on which the new version has the most bad answers.
+    /// Returns the counts to put into a report. If there are more than [`MAX_REPORTED_ROUTES`]
+    /// routes, it keeps those on which the new version has the most bad answers.
     #[must_use]
     pub fn for_report(&self) -> Self {
-        if self.routes.len() <= REPORTED_ROUTES {
+        if self.routes.len() <= MAX_REPORTED_ROUTES {
             return self.clone();
         }
         let mut routes: Vec<_> = self.routes.iter().collect();
         routes.sort_by_key(|(_, tally)| std::cmp::Reverse((tally.target.bad, tally.target.ended)));
-        let reported = routes.into_iter().take(REPORTED_ROUTES);
+        let reported = routes.into_iter().take(MAX_REPORTED_ROUTES);
         Self {
             routes: reported
                 .map(|(route, tally)| (route.clone(), *tally))
--- a/src/rollout/tracked_rollout.rs
+++ b/src/rollout/tracked_rollout.rs
@@ -3,7 +3,7 @@
 use std::collections;
 
 use super::message::{RolloutProgress, RolloutReport};
-use super::plan::{LAST_CALL, PROVED_FOR, RolloutStep};
+use super::plan::{BAKE_TIME_FRACTION, DRAIN_DEADLINE_FRACTION, RolloutStep};
 use super::report_schedule::{self, ReportSchedule};
 use super::spec::{RolloutSpec, RolloutState, StoredRollout};
 use super::tally::ServiceTally;
@@ -146,11 +146,11 @@
         let mut tally = self.host_reports.tally();
         tally.add(&self.own_tally);
         tally.add(&self.region_reports.tally());
-        if tally.shows_bad() {
+        if tally.is_target_bad() {
             return RolloutState::Reverted;
         }
         let age = now.since(self.started_at) as f64 / self.spec.over_ms.max(1) as f64;
-        let bake_ms = self.spec.over_ms as f64 * PROVED_FOR;
+        let bake_ms = self.spec.over_ms as f64 * BAKE_TIME_FRACTION;
         let is_baked = self
             .all_since
             .is_some_and(|since| now.since(since) as f64 >= bake_ms);
@@ -164,7 +164,7 @@
                 .iter()
                 .map(|region| region.others_open)
                 .sum::<u32>();
-        if is_baked && all_regions_moved && (open == 0 || age >= LAST_CALL) {
+        if is_baked && all_regions_moved && (open == 0 || age >= DRAIN_DEADLINE_FRACTION) {
             RolloutState::Complete
         } else {
             RolloutState::Running
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -140,7 +140,7 @@
         let host = self.random.random_range(0..self.tables[region].len());
         let point = self.random.random();
         let table = &self.tables[region][host];
-        let rule = table.rule_of("desk", point, CANARY_SHARE, false, Moment(now_ms));
+        let rule = table.version_rule("desk", point, CANARY_SHARE, false, Moment(now_ms));
         let is_new = rule == VersionRule::Only(version("v2"));
         let may_be_bad = is_new
             && now_ms >= self.new.bad_from_ms
@@ -310,7 +310,7 @@
     received.rollouts[0].state = RolloutState::Reverted;
     table.on_rollout(stored(Some(RolloutState::Complete)), 9, Moment(2));
     table.on_update(&received, Moment(3));
-    let rule = table.rule_of("desk", 0.99, CANARY_SHARE, false, Moment(3));
+    let rule = table.version_rule("desk", 0.99, CANARY_SHARE, false, Moment(3));
     assert_eq!(rule, VersionRule::Only(version("v2")));
     assert!(table.unrecorded(0, Moment(4)).is_empty());
 }
@@ -320,15 +320,15 @@
     let mut table = RolloutTable::default();
     table.on_list(vec![(stored(None), 8)], 8, Moment(0));
     assert_eq!(
-        table.rule_of("desk", 0.0, CANARY_SHARE, false, Moment(1)),
+        table.version_rule("desk", 0.0, CANARY_SHARE, false, Moment(1)),
         VersionRule::Only(version("v2"))
     );
     assert_eq!(
-        table.rule_of("desk", 0.0, CANARY_SHARE, true, Moment(1)),
+        table.version_rule("desk", 0.0, CANARY_SHARE, true, Moment(1)),
         VersionRule::Except(version("v2"))
     );
     assert_eq!(
-        table.rule_of("vault", 0.0, CANARY_SHARE, true, Moment(1)),
+        table.version_rule("vault", 0.0, CANARY_SHARE, true, Moment(1)),
         VersionRule::Any
     );
 }
@@ -362,7 +362,7 @@
         8,
         Moment(0),
     );
-    let rule_at = |at| table.rule_of("desk", 0.5, CANARY_SHARE, false, Moment(at));
+    let rule_at = |at| table.version_rule("desk", 0.5, CANARY_SHARE, false, Moment(at));
     assert!(
         !rule_at(500).allows(version("v1")),
         "its servers are stopping"
