--- a/src/entry/quarantine/table.rs
+++ b/src/entry/quarantine/table.rs
@@ -273,8 +273,8 @@
             .entries
             .iter()
             .filter(|(other, _)| **other != fingerprint);
-        let mut barred = others.filter(|(_, other)| other.state() == SuspectState::Blocked);
-        barred.any(|(_, other)| {
+        let mut blocked = others.filter(|(_, other)| other.state() == SuspectState::Blocked);
+        blocked.any(|(_, other)| {
             other
                 .crashed_servers
                 .iter()
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -49,8 +49,8 @@
 #[derive(Debug, Default)]
 pub struct QuarantineRole {
     table: cell::RefCell<QuarantineTable>,
-    /// Requests whose connection broke, by server, until the check whether that server has crashed
-    /// ends.
+    /// Requests whose connection broke, by server, until it is checked whether that server has
+    /// crashed.
     broken: cell::RefCell<collections::HashMap<String, Vec<RequestFingerprint>>>,
     /// Whether the stored suspects are known, from the store or from another host.
     is_loaded: cell::Cell<bool>,
--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -1,9 +1,9 @@
 //! Runs rollouts on an entry host: connects the decisions of [`crate::rollout`] to sockets, clock
 //! and store.
 //!
-//! The first watcher of each region, by rank, is the region's rollout leader and decides for it.
-//! The other hosts report their counts to the leader, and the leaders exchange the sums of their
-//! regions.
+//! The first store watcher of each region, by rank, is the region's rollout leader and decides for
+//! it. The other hosts report their counts to the leader, and the leaders exchange the sums of
+//! their regions.
 
 use std::{cell, collections, net, rc, time};
 
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -203,7 +203,7 @@
             let update = leader.to_update(now);
             for (other, tables) in self.tables.iter_mut().enumerate() {
                 if other != region {
-                    tables[0].on_region_report(report.clone().expect("an order"), now);
+                    tables[0].on_region_report(report.clone().expect("a rollout"), now);
                     tables[0].on_update(&update, now);
                     continue;
                 }
