--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -60,7 +60,7 @@
         match self {
             Self::Configuration => heartbeat.configuration_version > host.configuration_version(),
             Self::Servers => heartbeat.fleet_changed > host.fleet.borrow().revision(),
-            Self::Quarantine => host.quarantine.digest().may_lack(&heartbeat.quarantine),
+            Self::Quarantine => host.quarantine.digest().may_miss(&heartbeat.quarantine),
         }
     }
 
@@ -240,7 +240,7 @@
 async fn fetch_suspects<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
     let fetched = fetch::<W, Vec<SuspectRecord>>(host, source, SUSPECTS_PATH).await;
     if let Some(records) = &fetched {
-        host.on_suspects_told(records, &source.to_string());
+        host.on_suspect_records(records, &source.to_string());
     }
     FetchEnd::of(fetched.as_ref())
 }
@@ -299,9 +299,9 @@
         let halls = snapshot.evacuated.iter().cloned().collect();
         host.on_evacuation_list(halls, snapshot.evacuation_revision);
     }
-    host.on_rollout_news(&snapshot.rollouts);
+    host.on_rollout_update(&snapshot.rollouts);
     if let Some(suspects) = &snapshot.suspects {
-        host.on_suspects_told(suspects, &source);
-        host.quarantine.on_read();
+        host.on_suspect_records(suspects, &source);
+        host.quarantine.on_loaded();
     }
 }
--- a/src/entry/quarantine/table.rs
+++ b/src/entry/quarantine/table.rs
@@ -1,155 +1,158 @@
-//! The suspects that a host knows.
+//! The suspects that a host knows: merging, expiry, probing and the digest.
 
 use super::message::{QuarantineDigest, SuspectRecord};
 use super::{
-    CLEARED_LIFE_MS, FIRST_TRIAL_MS, MAX_SUSPECTS, SERVERS_TO_BAR, SERVERS_TO_TELL,
-    SUSPECT_LIFE_MS, SWIFT_SPREAD_MS, SWIFT_TRIAL_MS, TRIAL_FACTOR,
+    CLEARED_TTL_MS, EARLY_PROBE_DELAY_MS, EARLY_PROBE_SPREAD_MS, FIRST_PROBE_DELAY_MS,
+    MAX_SUSPECTS, PROBE_BACKOFF_FACTOR, SERVERS_TO_ANNOUNCE, SERVERS_TO_BLOCK, SUSPECT_TTL_MS,
 };
 use crate::entry::fingerprint::RequestFingerprint;
 use crate::entry::hash;
 use crate::timer::Moment;
 
-/// How a suspect stands.
+/// The state of a suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectState {
-    /// Too few servers ended for all hosts to know it.
-    Counted,
-    /// All hosts know it, and it is still sent.
-    Known,
-    /// It is sent to no server.
-    Barred,
-    /// A server has answered it with success.
+    /// Too few servers crashed; only its trackers know it.
+    Tracked,
+    /// Announced to all hosts, and still sent to servers.
+    Announced,
+    /// Not sent to any server, except for probes.
+    Blocked,
+    /// A server has answered it successfully.
     Cleared,
 }
 
-/// What a table does with word of a suspect.
+/// The result of applying an observation to the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspectChange {
-    /// It knew that.
+    /// Nothing changed.
     None,
-    /// It counts one more end, which not all hosts need to know yet.
-    Counted,
-    /// All hosts must know the record.
-    Tell(SuspectRecord),
+    /// A new crash is recorded, which only the suspect's trackers need to know.
+    Tracked,
+    /// The record must be announced to all hosts.
+    Announce(SuspectRecord),
 }
 
-/// A trial of a barred request on a server.
+/// The kind of probe of a blocked request that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum DueTrial {
-    /// Once, soon after it was barred beside others.
-    Swift,
-    /// Ever more seldom.
+enum DueProbe {
+    /// A single one soon after blocking, for a likely bystander.
+    Early,
+    /// One of a series at growing intervals.
     Regular,
 }
 
-/// One suspect.
+/// A suspect as this host knows it.
 #[derive(Debug, Clone)]
 struct SuspectEntry {
-    /// Hashes of the servers that ended under it, in their order.
-    ended: Vec<u64>,
+    /// Hashes of the servers that crashed while processing it, sorted.
+    crashed_servers: Vec<u64>,
     cleared: bool,
-    /// When something was last heard of it.
-    heard: Moment,
-    /// How often it was tried since it was barred, beside the swift trial.
-    trials: u32,
-    /// Whether it had its swift trial here.
-    tried_swiftly: bool,
-    /// When it was barred here, or the last trial heard of.
-    waits_since: Moment,
+    /// Time of the last observation.
+    last_seen: Moment,
+    /// Number of regular probes since it was blocked.
+    probes: u32,
+    /// Whether this host has sent its early probe.
+    early_probe_sent: bool,
+    /// When it was blocked on this host or last probed; the delay until the next probe starts here.
+    waiting_since: Moment,
 }
 
 impl SuspectEntry {
     fn state(&self) -> SuspectState {
-        match self.ended.len() {
+        match self.crashed_servers.len() {
             _ if self.cleared => SuspectState::Cleared,
-            SERVERS_TO_BAR.. => SuspectState::Barred,
-            SERVERS_TO_TELL.. => SuspectState::Known,
-            _ => SuspectState::Counted,
+            SERVERS_TO_BLOCK.. => SuspectState::Blocked,
+            SERVERS_TO_ANNOUNCE.. => SuspectState::Announced,
+            _ => SuspectState::Tracked,
         }
     }
 
-    /// Whether all hosts know it.
-    fn is_told(&self) -> bool {
-        self.state() != SuspectState::Counted
+    /// Returns whether it is announced to all hosts.
+    fn is_announced(&self) -> bool {
+        self.state() != SuspectState::Tracked
     }
 
-    const fn life_ms(&self) -> u64 {
+    const fn ttl_ms(&self) -> u64 {
         if self.cleared {
-            CLEARED_LIFE_MS
+            CLEARED_TTL_MS
         } else {
-            SUSPECT_LIFE_MS
+            SUSPECT_TTL_MS
         }
     }
 
-    /// Adds servers; returns whether there are more than before.
-    fn add(&mut self, servers: &[u64]) -> bool {
-        let before = self.ended.len();
+    /// Adds crashed servers and returns whether any of them is new.
+    fn add_servers(&mut self, servers: &[u64]) -> bool {
+        let before = self.crashed_servers.len();
         for server in servers {
-            if let Err(place) = self.ended.binary_search(server) {
-                self.ended.insert(place, *server);
+            if let Err(place) = self.crashed_servers.binary_search(server) {
+                self.crashed_servers.insert(place, *server);
             }
         }
-        self.ended.truncate(SERVERS_TO_BAR);
-        self.ended.len() > before
+        self.crashed_servers.truncate(SERVERS_TO_BLOCK);
+        self.crashed_servers.len() > before
     }
 
-    /// Which trial on a server is due, if one is; `stood_beside` says that a server of it ended under another one as well.
-    fn due_trial(
+    /// Returns the probe that is due, if any. `shares_crash` tells whether the request shares a
+    /// crashed server with another blocked request.
+    fn due_probe(
         &self,
         fingerprint: RequestFingerprint,
-        stood_beside: bool,
+        shares_crash: bool,
         now: Moment,
-    ) -> Option<DueTrial> {
-        if self.state() != SuspectState::Barred {
+    ) -> Option<DueProbe> {
+        if self.state() != SuspectState::Blocked {
             return None;
         }
-        let waited_ms = now.since(self.waits_since);
-        let wait_ms = FIRST_TRIAL_MS.saturating_mul(TRIAL_FACTOR.saturating_pow(self.trials));
-        if waited_ms >= wait_ms {
-            return Some(DueTrial::Regular);
+        let elapsed_ms = now.since(self.waiting_since);
+        let wait_ms =
+            FIRST_PROBE_DELAY_MS.saturating_mul(PROBE_BACKOFF_FACTOR.saturating_pow(self.probes));
+        if elapsed_ms >= wait_ms {
+            return Some(DueProbe::Regular);
         }
-        let swift_ms = SWIFT_TRIAL_MS + fingerprint.0 % SWIFT_SPREAD_MS;
-        let may_be_swift = stood_beside && self.trials == 0 && !self.tried_swiftly;
-        (may_be_swift && waited_ms >= swift_ms).then_some(DueTrial::Swift)
+        let early_ms = EARLY_PROBE_DELAY_MS + fingerprint.0 % EARLY_PROBE_SPREAD_MS;
+        let may_probe_early = shares_crash && self.probes == 0 && !self.early_probe_sent;
+        (may_probe_early && elapsed_ms >= early_ms).then_some(DueProbe::Early)
     }
 
-    /// A server has answered it; which ones ended before does not matter any more.
+    /// Marks it as cleared and drops the crashed servers, which no longer matter.
     fn clear(&mut self, now: Moment) {
         self.cleared = true;
-        self.ended.clear();
-        self.heard = now;
+        self.crashed_servers.clear();
+        self.last_seen = now;
     }
 
     fn record(&self, fingerprint: RequestFingerprint, now: Moment) -> SuspectRecord {
-        let age_s = now.since(self.heard) / 1_000;
+        let age_s = now.since(self.last_seen) / 1_000;
         SuspectRecord {
             fingerprint,
-            ended: self.ended.clone(),
+            crashed_servers: self.crashed_servers.clone(),
             cleared: self.cleared,
-            trials: self.trials,
+            probes: self.probes,
             age_s: u32::try_from(age_s).unwrap_or(u32::MAX),
         }
     }
 
-    /// Differs where hosts would have something to tell each other: below the bar also in the servers, of
-    /// which others may make up the number.
+    /// Returns a hash that differs where hosts have something to exchange. Before the request is
+    /// blocked it includes the crashed servers, since different ones on two hosts may add up to the
+    /// limit.
     fn hash(&self, fingerprint: RequestFingerprint) -> u64 {
         let state = self.state();
         let servers = match state {
-            SuspectState::Counted | SuspectState::Known => self.ended.as_slice(),
-            SuspectState::Barred | SuspectState::Cleared => &[],
+            SuspectState::Tracked | SuspectState::Announced => self.crashed_servers.as_slice(),
+            SuspectState::Blocked | SuspectState::Cleared => &[],
         };
-        let trials = match state {
-            SuspectState::Barred => u64::from(self.trials) << 8,
-            SuspectState::Counted | SuspectState::Known | SuspectState::Cleared => 0,
+        let probes = match state {
+            SuspectState::Blocked => u64::from(self.probes) << 8,
+            SuspectState::Tracked | SuspectState::Announced | SuspectState::Cleared => 0,
         };
-        let seed = hash::mix(hash::mix(fingerprint.0) ^ trials ^ state as u64);
+        let seed = hash::mix(hash::mix(fingerprint.0) ^ probes ^ state as u64);
         let servers = servers.iter();
         servers.fold(seed, |hash, server| hash::mix(hash ^ server))
     }
 }
 
-/// The suspects that a host knows.
+/// The suspects that a host knows, by fingerprint.
 ///
 /// ```
 /// use ledgespool::entry::fingerprint::RequestFingerprint;
@@ -158,50 +161,50 @@
 /// let mut table = QuarantineTable::default();
 /// let request = RequestFingerprint(7);
 /// for server in 1..=3 {
-///     assert!(!table.is_barred(request));
-///     table.on_ended(request, server, Moment(0));
+///     assert!(!table.is_blocked(request));
+///     table.on_crash(request, server, Moment(0));
 /// }
-/// assert!(table.is_barred(request));
+/// assert!(table.is_blocked(request));
 /// table.on_success(request, Moment(9));
-/// assert!(!table.is_barred(request));
+/// assert!(!table.is_blocked(request));
 /// ```
 #[derive(Debug, Default)]
 pub struct QuarantineTable {
     entries: rustc_hash::FxHashMap<RequestFingerprint, SuspectEntry>,
-    /// Entries that all hosts know, so that a host without any looks no request up.
-    told: usize,
+    /// Number of announced entries. A host without any skips the lookup of each request.
+    announced: usize,
 }
 
 impl QuarantineTable {
-    /// Whether there is any suspect that all hosts know.
+    /// Returns whether any suspect is announced to all hosts.
     #[must_use]
-    pub const fn has_told(&self) -> bool {
-        self.told > 0
+    pub const fn has_announced(&self) -> bool {
+        self.announced > 0
     }
 
-    /// How a request stands; `None` for one that is no suspect.
+    /// Returns the state of a request; `None` if it is not a suspect.
     #[must_use]
     pub fn state_of(&self, fingerprint: RequestFingerprint) -> Option<SuspectState> {
         self.entries.get(&fingerprint).map(SuspectEntry::state)
     }
 
-    /// Whether a request must be sent to no server.
+    /// Returns whether a request is blocked.
     #[must_use]
-    pub fn is_barred(&self, fingerprint: RequestFingerprint) -> bool {
-        self.state_of(fingerprint) == Some(SuspectState::Barred)
+    pub fn is_blocked(&self, fingerprint: RequestFingerprint) -> bool {
+        self.state_of(fingerprint) == Some(SuspectState::Blocked)
     }
 
-    /// Requests that are sent to no server.
+    /// Number of blocked requests.
     #[must_use]
-    pub fn barred_count(&self) -> usize {
+    pub fn blocked_count(&self) -> usize {
         let entries = self.entries.values();
         entries
-            .filter(|entry| entry.state() == SuspectState::Barred)
+            .filter(|entry| entry.state() == SuspectState::Blocked)
             .count()
     }
 
-    /// A server ended under a request.
-    pub fn on_ended(
+    /// Records that a server crashed while processing a request.
+    pub fn on_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         server: u64,
@@ -209,58 +212,60 @@
     ) -> SuspectChange {
         let record = SuspectRecord {
             fingerprint,
-            ended: vec![server],
+            crashed_servers: vec![server],
             cleared: false,
-            trials: 0,
+            probes: 0,
             age_s: 0,
         };
         if !self.merge(&record, now) {
             return SuspectChange::None;
         }
-        self.change_of(fingerprint, now)
+        self.change_for(fingerprint, now)
     }
 
-    /// Another host, or the store, tells of a suspect; returns whether that is news.
-    pub fn on_told(&mut self, record: &SuspectRecord, now: Moment) -> bool {
+    /// Merges a record from another host or the store; returns whether it adds anything.
+    pub fn on_record(&mut self, record: &SuspectRecord, now: Moment) -> bool {
         self.merge(record, now)
     }
 
-    /// A server has answered a request with success.
+    /// Records that a server has answered a request successfully.
     pub fn on_success(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
         match self.state_of(fingerprint) {
             None | Some(SuspectState::Cleared) => SuspectChange::None,
-            Some(SuspectState::Counted) => {
+            Some(SuspectState::Tracked) => {
                 self.entries.remove(&fingerprint);
                 SuspectChange::None
             }
-            Some(SuspectState::Known | SuspectState::Barred) => {
+            Some(SuspectState::Announced | SuspectState::Blocked) => {
                 if let Some(entry) = self.entries.get_mut(&fingerprint) {
                     entry.clear(now);
                 }
-                self.change_of(fingerprint, now)
+                self.change_for(fingerprint, now)
             }
         }
     }
 
-    /// Takes the trial of a barred request, if one is due: it may be sent to one server, and others must know.
-    pub fn try_barred(
+    /// Returns the updated record if a probe of a blocked request is due. The caller may then send
+    /// the request to one server and must announce the record.
+    pub fn take_probe(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Moment,
     ) -> Option<SuspectRecord> {
-        let stood_beside = self.stood_beside_others(fingerprint);
+        let shares_crash = self.shares_crash_with_others(fingerprint);
         let entry = self.entries.get_mut(&fingerprint)?;
-        match entry.due_trial(fingerprint, stood_beside, now)? {
-            DueTrial::Swift => entry.tried_swiftly = true,
-            DueTrial::Regular => entry.trials += 1,
+        match entry.due_probe(fingerprint, shares_crash, now)? {
+            DueProbe::Early => entry.early_probe_sent = true,
+            DueProbe::Regular => entry.probes += 1,
         }
-        entry.waits_since = now;
-        entry.heard = now;
+        entry.waiting_since = now;
+        entry.last_seen = now;
         Some(entry.record(fingerprint, now))
     }
 
-    /// Whether a server that ended under a request also ended under another one that is barred.
-    fn stood_beside_others(&self, fingerprint: RequestFingerprint) -> bool {
+    /// Returns whether a server that crashed while processing this request was also processing
+    /// another one that is now blocked.
+    fn shares_crash_with_others(&self, fingerprint: RequestFingerprint) -> bool {
         let Some(entry) = self.entries.get(&fingerprint) else {
             return false;
         };
@@ -268,57 +273,65 @@
             .entries
             .iter()
             .filter(|(other, _)| **other != fingerprint);
-        let mut barred = others.filter(|(_, other)| other.state() == SuspectState::Barred);
-        barred.any(|(_, other)| {
+        let mut blocked = others.filter(|(_, other)| other.state() == SuspectState::Blocked);
+        blocked.any(|(_, other)| {
             other
-                .ended
+                .crashed_servers
                 .iter()
-                .any(|server| entry.ended.contains(server))
+                .any(|server| entry.crashed_servers.contains(server))
         })
     }
 
-    /// A barred request came again: it is remembered for longer.
+    /// Extends the lifetime of a blocked request that was received again.
     pub fn on_refused(&mut self, fingerprint: RequestFingerprint, now: Moment) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
-            entry.heard = now;
+            entry.last_seen = now;
         }
     }
 
-    /// Forgets what nothing was heard of for long.
+    /// Removes expired entries.
     pub fn on_tick(&mut self, now: Moment) {
         self.entries
-            .retain(|_, entry| now.since(entry.heard) < entry.life_ms());
+            .retain(|_, entry| now.since(entry.last_seen) < entry.ttl_ms());
         self.count();
     }
 
-    /// All that other hosts must know as well.
+    /// Returns the records of all announced suspects.
     #[must_use]
     pub fn records(&self, now: Moment) -> Vec<SuspectRecord> {
-        let told = self.entries.iter().filter(|(_, entry)| entry.is_told());
-        told.map(|(fingerprint, entry)| entry.record(*fingerprint, now))
+        let announced = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_announced());
+        announced
+            .map(|(fingerprint, entry)| entry.record(*fingerprint, now))
             .collect()
     }
 
-    /// The same in a few bytes.
+    /// Returns the digest of all announced suspects.
     #[must_use]
     pub fn digest(&self) -> QuarantineDigest {
-        if !self.has_told() {
+        if !self.has_announced() {
             return QuarantineDigest::default();
         }
-        let told = self.entries.iter().filter(|(_, entry)| entry.is_told());
-        let hashes = told.map(|(fingerprint, entry)| entry.hash(*fingerprint));
+        let announced = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_announced());
+        let hashes = announced.map(|(fingerprint, entry)| entry.hash(*fingerprint));
         QuarantineDigest {
-            count: u32::try_from(self.told).unwrap_or(u32::MAX),
+            count: u32::try_from(self.announced).unwrap_or(u32::MAX),
             hash: hashes.fold(0, |all, hash| all ^ hash),
         }
     }
 
-    /// Joins what is told to what is known: the servers of both, a success of either, the later word. Any
-    /// order of the same records leads to the same.
+    /// Merges a record: the union of the crashed servers, a success on either side and the later
+    /// observation. The result does not depend on the order of the records. Returns whether the
+    /// record adds anything.
     fn merge(&mut self, record: &SuspectRecord, now: Moment) -> bool {
-        let heard = now.before(u64::from(record.age_s) * 1_000);
+        let last_seen = now.before(u64::from(record.age_s) * 1_000);
         let known = self.entries.get(&record.fingerprint);
-        // A success stands against the ends before it; word of them may be late.
+        // A success overrides earlier crashes, and reports of those may arrive late.
         if known.is_some_and(|known| known.cleared) {
             return false;
         }
@@ -327,48 +340,51 @@
             .entries
             .entry(record.fingerprint)
             .or_insert(SuspectEntry {
-                ended: Vec::new(),
+                crashed_servers: Vec::new(),
                 cleared: false,
-                heard,
-                trials: 0,
-                tried_swiftly: false,
-                waits_since: now,
+                last_seen,
+                probes: 0,
+                early_probe_sent: false,
+                waiting_since: now,
             });
-        let adds_servers = entry.add(&record.ended);
-        if adds_servers || record.trials > entry.trials {
-            entry.waits_since = now;
+        let adds_servers = entry.add_servers(&record.crashed_servers);
+        if adds_servers || record.probes > entry.probes {
+            entry.waiting_since = now;
         }
-        entry.trials = entry.trials.max(record.trials);
-        entry.heard = entry.heard.max(heard);
+        entry.probes = entry.probes.max(record.probes);
+        entry.last_seen = entry.last_seen.max(last_seen);
         if record.cleared {
-            entry.clear(heard);
+            entry.clear(last_seen);
         }
-        let is_old = now.since(entry.heard) >= entry.life_ms();
+        let is_old = now.since(entry.last_seen) >= entry.ttl_ms();
         if is_old {
             self.entries.remove(&record.fingerprint);
         }
         if is_new && !is_old {
-            self.make_room();
+            self.evict_oldest();
         }
         self.count();
         !is_old && (adds_servers || record.cleared)
     }
 
-    fn change_of(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
+    fn change_for(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectChange {
         match self.entries.get(&fingerprint) {
-            Some(entry) if entry.is_told() => SuspectChange::Tell(entry.record(fingerprint, now)),
-            Some(_) => SuspectChange::Counted,
+            Some(entry) if entry.is_announced() => {
+                SuspectChange::Announce(entry.record(fingerprint, now))
+            }
+            Some(_) => SuspectChange::Tracked,
             None => SuspectChange::None,
         }
     }
 
-    /// Beyond what is remembered the longest unheard goes, those that only this host counts first.
-    fn make_room(&mut self) {
+    /// Evicts the entry with the oldest observation if the table is over its limit, unannounced
+    /// ones first.
+    fn evict_oldest(&mut self) {
         if self.entries.len() <= MAX_SUSPECTS {
             return;
         }
         let entries = self.entries.iter();
-        let oldest = entries.min_by_key(|(_, entry)| (entry.is_told(), entry.heard));
+        let oldest = entries.min_by_key(|(_, entry)| (entry.is_announced(), entry.last_seen));
         if let Some((oldest, _)) = oldest {
             let oldest = *oldest;
             self.entries.remove(&oldest);
@@ -377,6 +393,6 @@
 
     fn count(&mut self) {
         let entries = self.entries.values();
-        self.told = entries.filter(|entry| entry.is_told()).count();
+        self.announced = entries.filter(|entry| entry.is_announced()).count();
     }
 }
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -53,7 +53,7 @@
             quarantine: self.quarantine.digest(),
             server_limits: self.server_limits.next_heartbeat_updates(),
             leaving_servers: self.leaving_news.in_turn(),
-            rollouts: self.rollouts.news(self.now()),
+            rollouts: self.rollouts.to_update(self.now()),
             known_hosts,
             known_near,
             heard,
@@ -112,9 +112,9 @@
             evacuation_revision: evacuations.revision(),
             hosts,
             hosts_listed: self.peers.borrow().is_listed(),
-            suspects: self.quarantine.told_records(self.now()),
+            suspects: self.quarantine.snapshot_records(self.now()),
             region_sizes: self.region_sizes(),
-            rollouts: self.rollouts.news(self.now()),
+            rollouts: self.rollouts.to_update(self.now()),
         }
     }
 }
