--- a/src/entry/past_notices.rs
+++ b/src/entry/past_notices.rs
@@ -1,12 +1,14 @@
-//! What servers told of themselves before their entries went: one that comes back is of the same start.
+//! Retains the notices of servers whose store entries are gone. If the same incarnation returns, its
+//! notice applies again.
 
 use super::server_notice::ServerNotice;
 use crate::timer::Moment;
 
-/// A server that comes back later than this after its entry went has ended meanwhile, in milliseconds.
-const KEPT_MS: u64 = 600_000;
+/// How long notices are retained, in milliseconds. The server's process is assumed to have ended by
+/// then.
+const RETENTION_MS: u64 = 600_000;
 
-/// Notices of servers that are gone, by the hashes of identity and start.
+/// Notices of servers that are gone, by the hash of server id and start time.
 #[derive(Debug, Default)]
 pub(super) struct PastNotices {
     notices: rustc_hash::FxHashMap<u64, PastNotice>,
@@ -19,7 +21,7 @@
 }
 
 impl PastNotices {
-    /// A server is gone.
+    /// Retains the notice of a server that is gone.
     pub(super) fn put(&mut self, start_hash: u64, notice: ServerNotice, now: Moment) {
         if notice.says_something() {
             let past = PastNotice { notice, since: now };
@@ -27,15 +29,15 @@
         }
     }
 
-    /// What a server told that is there, or there again.
+    /// Takes the retained notice of a server that has returned.
     pub(super) fn take(&mut self, start_hash: u64) -> Option<ServerNotice> {
         let past = self.notices.remove(&start_hash);
         past.map(|past| past.notice)
     }
 
-    /// Forgets those that are gone for long.
+    /// Removes expired notices.
     pub(super) fn on_tick(&mut self, now: Moment) {
         self.notices
-            .retain(|_, past| now.since(past.since) < KEPT_MS);
+            .retain(|_, past| now.since(past.since) < RETENTION_MS);
     }
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! One run of a backend server, as the store describes it.
+//! The store's record of a backend server, and the load that a server reports.
 
 use std::{cmp, net};
 
@@ -7,47 +7,47 @@
 /// Whether a server takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ServerState {
-    /// It takes work.
+    /// It takes new work.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the requests that it has.
     Draining,
 }
 
-/// One incarnation of a backend server: an identity and a start.
+/// One incarnation of a backend server, given by its id and start time.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ServerRecord {
-    /// Its identity; a server may start again under the one that it had.
+    /// The server's id; it stays the same over restarts.
     pub id: String,
-    /// When it started, in Unix milliseconds by its own clock, if it tells.
+    /// When the server started, in Unix milliseconds by its own clock, if it reports that.
     pub born: Option<u64>,
-    /// The service that it serves.
+    /// The service that the server runs.
     pub service: String,
-    /// Where it listens.
+    /// The address on which it accepts requests.
     pub address: net::SocketAddr,
-    /// The hall that it stands in.
+    /// The hall in which it is located.
     pub hall: String,
     /// The version of its software.
     pub version: VersionTag,
-    /// Requests that it works on at a time.
+    /// The number of requests that it processes at the same time.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: ServerState,
-    /// How much longer it stays slow, in milliseconds, when this was written.
+    /// How much longer it stays cold, in milliseconds, at the time of writing.
     pub cold_ms: u64,
 }
 
 impl ServerRecord {
-    /// How this start of the server stands to another one under the same identity. The told starts
-    /// decide, whatever the store's counts say; clocks of servers may be off, so a start that seems earlier
-    /// never replaces a later one. One that tells its start comes after one that did not; one that does not
-    /// tell it any more is taken for the same.
+    /// Compares this incarnation with another one of the same server, by the reported start times and
+    /// not by store revisions. Server clocks may be wrong, so an earlier start never replaces a later
+    /// one. A record with a start time is newer than one without; a record without one counts as the
+    /// same incarnation.
     #[must_use]
     pub fn start_order(&self, other: &Self) -> cmp::Ordering {
         start_order(self.born, other.born)
     }
 }
 
-/// [`ServerRecord::start_order`] by the told starts alone.
+/// [`ServerRecord::start_order`] for two start times.
 pub(super) fn start_order(own: Option<u64>, other: Option<u64>) -> cmp::Ordering {
     match (own, other) {
         (Some(own), Some(other)) => own.cmp(&other),
@@ -56,28 +56,28 @@
     }
 }
 
-/// A server's record and when the store last changed it.
+/// A server's record with its store revision.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ServerObject {
     /// The record.
     pub record: ServerRecord,
-    /// The store's count at the record's last change.
+    /// The store revision of the record's last change.
     pub revision: u64,
 }
 
-/// The load that a server told with an answer.
+/// The load that a server reports in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests in its queue.
+    /// Requests waiting in the server's queue.
     pub waiting: u32,
-    /// Requests that it can work on at a time.
+    /// Requests that can be processed at the same time.
     pub slots: u32,
 }
 
 impl ServerLoad {
-    /// Whether a slot is free and nobody waits for it.
+    /// Whether a slot is free and no request waits for it.
     ///
     /// ```
     /// use ledgespool::entry::server::ServerLoad;
--- a/src/entry/server_notice.rs
+++ b/src/entry/server_notice.rs
@@ -1,38 +1,40 @@
-//! What a backend server has told this host of its own intent: that it leaves, or that it wants no requests for a while.
+//! Tracks what a backend server announced about itself: that it is leaving, or that it wants a backoff.
+//! Derives from this whether the server may get new requests.
 
 use crate::timer::Moment;
 
-/// Of the time that a server which leaves serves on, the share in which it may still get requests that no other
-/// takes; the rest covers the way there and the work.
+/// Share of a leaving server's remaining time in which it may still get requests that no other server
+/// takes. The other half is left for the network latency and the work.
 const LAST_RESORT_SHARE: f64 = 0.5;
 
-/// A server that has rested is tried again after this time, in milliseconds, if the request before has brought no answer.
-const TRIAL_GAP_MS: u64 = 1_000;
+/// After a backoff, another probe request may be sent if the previous one got no answer within this
+/// time, in milliseconds.
+const PROBE_INTERVAL_MS: u64 = 1_000;
 
-/// Whether a server may get new work.
+/// Whether a server may get new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerStanding {
-    /// As any other.
+    /// It may get any request.
     Regular,
-    /// It gets only what no other takes.
+    /// It gets only requests that no other server takes.
     LastResort,
-    /// It gets none.
+    /// It gets no requests.
     Closed,
 }
 
-/// What one start of a server has told.
+/// What one incarnation of a server has announced.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerNotice {
     leaving_since: Option<Moment>,
     rest_until: Option<Moment>,
-    /// When a request was last sent to show whether its rest is over.
-    tried_at: Option<Moment>,
-    /// Whether it said something that could not be understood.
+    /// When the last probe request after a backoff was sent.
+    probed_at: Option<Moment>,
+    /// Whether it has sent an unreadable header.
     unreadable: bool,
 }
 
 impl ServerNotice {
-    /// It says that it leaves; returns whether that is new.
+    /// Records that the server is leaving; returns whether that is new.
     pub const fn on_leaving(&mut self, now: Moment) -> bool {
         let is_new = self.leaving_since.is_none();
         if is_new {
@@ -41,74 +43,74 @@
         is_new
     }
 
-    /// It wants nothing from this host until then; returns whether it did not rest before. An earlier word that
-    /// names a later time holds on.
+    /// Records a backoff until the given time; returns whether the server was not in backoff before. A
+    /// later end of a previous backoff is kept.
     pub fn on_rest(&mut self, until: Moment, now: Moment) -> bool {
         let is_new = !self.is_resting(now);
         self.rest_until = self.rest_until.max(Some(until));
-        self.tried_at = None;
+        self.probed_at = None;
         is_new
     }
 
-    /// It said something that could not be understood; returns whether that is new.
+    /// Records an unreadable header; returns whether it is the server's first one.
     pub const fn on_unreadable(&mut self) -> bool {
         !std::mem::replace(&mut self.unreadable, true)
     }
 
-    /// The same start of the server has also told this.
+    /// Merges another notice of the same incarnation.
     pub fn join(&mut self, other: Self) {
         let earlier = [self.leaving_since, other.leaving_since];
         self.leaving_since = earlier.into_iter().flatten().min();
         self.rest_until = self.rest_until.max(other.rest_until);
     }
 
-    /// Whether it told anything that holds on.
+    /// Whether the notice contains an announcement.
     #[must_use]
     pub const fn says_something(&self) -> bool {
         self.leaving_since.is_some() || self.rest_until.is_some()
     }
 
-    /// When it first said that it leaves. Nothing but another start of the server takes this back.
+    /// When the server first announced that it is leaving. This holds for the whole incarnation.
     #[must_use]
     pub const fn leaving_since(&self) -> Option<Moment> {
         self.leaving_since
     }
 
-    /// Whether it wants no requests from this host now.
+    /// Whether the server is in backoff.
     #[must_use]
     pub fn is_resting(&self, now: Moment) -> bool {
         self.rest_until.is_some_and(|until| now < until)
     }
 
-    /// Whether its rest is over and no request has shown yet that it works again.
+    /// Whether the backoff is over and no answer has shown yet that the server works again.
     #[must_use]
     pub fn is_on_trial(&self, now: Moment) -> bool {
         self.rest_until.is_some_and(|until| until <= now)
     }
 
-    /// A request is sent to it: if its rest is over, this one shows whether it works again.
+    /// Records a request to the server. After a backoff, that request is a probe.
     pub fn on_sent(&mut self, now: Moment) {
         if self.is_on_trial(now) {
-            self.tried_at = Some(now);
+            self.probed_at = Some(now);
         }
     }
 
-    /// Whether a request is on its way that shows whether it works again.
+    /// Whether a probe request was sent recently and not answered yet.
     #[must_use]
     pub fn is_being_tried(&self, now: Moment) -> bool {
-        let is_lately = |tried| now.since(tried) < TRIAL_GAP_MS;
-        self.is_on_trial(now) && self.tried_at.is_some_and(is_lately)
+        let is_recent = |probed| now.since(probed) < PROBE_INTERVAL_MS;
+        self.is_on_trial(now) && self.probed_at.is_some_and(is_recent)
     }
 
-    /// It answered a request.
+    /// Records an answer. After a backoff, it completes the probe.
     pub fn on_served(&mut self, now: Moment) {
         if self.is_on_trial(now) {
             self.rest_until = None;
-            self.tried_at = None;
+            self.probed_at = None;
         }
     }
 
-    /// What follows for new work. A server that leaves serves on for `leave_ms` at least.
+    /// Whether the server may get new requests. A leaving server keeps serving for at least `leave_ms`.
     ///
     /// ```
     /// use ledgespool::entry::server_notice::{ServerNotice, ServerStanding};
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Until when it wants, or wanted, no requests from this host.
+    /// When the current or previous backoff ends.
     #[must_use]
     pub const fn rest_until(&self) -> Option<Moment> {
         self.rest_until
