--- a/src/entry/customer.rs
+++ b/src/entry/customer.rs
@@ -1,8 +1,7 @@
-//! Who asks: the customers of a configuration, the keys by which their requests are told apart, and
-//! what each may ask.
+//! The customers of a configuration, with their keys, limits and allowed regions.
 //!
-//! A key is a secret, so none is held: where a configuration is read, each key becomes a
-//! [`KeyDigest`], and only digests are kept, compared and sent to other hosts.
+//! Keys are secrets and are not stored. When a configuration is read, each key becomes a [`KeyDigest`];
+//! only digests are stored, compared and sent to other hosts.
 
 use std::{fmt, rc};
 
@@ -10,16 +9,16 @@
 
 use super::hash;
 
-/// Bytes of a digest that are kept. With 128 bits two keys share a digest by chance once in 10^19
-/// pairs, and a key cannot be found from it unless it can be guessed.
+/// Length of a stored digest, in bytes. With 128 bits, two keys share a digest by chance once in 10^19
+/// pairs, and a key that cannot be guessed cannot be recovered from it.
 const DIGEST_BYTES: usize = 16;
-/// Bytes of a fingerprint: enough to tell the keys of a deployment apart, too few to try a guessed
-/// key against.
+/// Length of a printed fingerprint, in bytes: enough to distinguish the keys of a deployment, too short
+/// to verify a guessed key.
 const FINGERPRINT_BYTES: usize = 3;
 
-/// Stands for a key without telling it.
+/// The digest of a customer's key.
 ///
-/// It prints as a short fingerprint, which tells keys apart and does not help to find one.
+/// It prints as a short fingerprint, which distinguishes keys but does not reveal them.
 ///
 /// ```
 /// use ledgespool::entry::customer::KeyDigest;
@@ -31,7 +30,7 @@
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn of_key(key: &[u8]) -> Self {
         Self(first_bytes(&sha2::Sha256::digest(key)))
@@ -40,9 +39,11 @@
 
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Hashed once more: what is printed must not be a part of what other hosts are told.
-        let print: [u8; FINGERPRINT_BYTES] = first_bytes(&sha2::Sha256::digest(self.0));
-        print.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
+        // Hashed again, so that the printed bytes are not part of the digest that other hosts get.
+        let fingerprint: [u8; FINGERPRINT_BYTES] = first_bytes(&sha2::Sha256::digest(self.0));
+        fingerprint
+            .iter()
+            .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
@@ -58,17 +59,17 @@
     first
 }
 
-/// How many requests of a customer all hosts together may let through.
+/// The rate limit of a customer, for all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Requests beside, at any one time.
+    /// Burst size: additional requests allowed at once.
     pub burst: f64,
 }
 
 impl RateLimit {
-    /// Whether a number of requests can be told from it.
+    /// Whether both numbers are finite, the rate is positive and the burst not negative.
     ///
     /// ```
     /// use ledgespool::entry::customer::RateLimit;
@@ -85,53 +86,53 @@
 /// A customer as the operator configured it.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CustomerRule {
-    /// The name that backend servers are told.
+    /// The name, which is sent to backend servers.
     pub name: String,
-    /// Its keys.
+    /// The digests of the customer's keys.
     pub keys: Vec<KeyDigest>,
-    /// How urgent its requests are, 0 first; goes before the route's.
+    /// The priority of its requests, 0 first; overrides the route's priority.
     pub priority: Option<u32>,
-    /// Its limit, if it has one.
+    /// The rate limit, if there is one.
     pub limit: Option<RateLimit>,
-    /// The only regions that may serve it; empty for all.
+    /// The regions that may serve its requests; empty if all may.
     pub homes: Vec<String>,
 }
 
-/// What is wrong with a customer of a configuration that is installed all the same.
+/// A fault of one customer, reported for a configuration that is installed nevertheless.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CustomerFault {
-    /// Nobody can ask as this customer.
+    /// No request can belong to this customer.
     #[error("customer {0:?} has no key")]
-    WithoutKey(String),
-    /// A key does not say who asks; requests that carry it are refused.
-    #[error("the key with fingerprint {key} is held by {first:?} and {second:?}")]
+    NoKeys(String),
+    /// Two customers have the same key; requests that carry it are refused.
+    #[error("customers {first:?} and {second:?} have the same key, with fingerprint {key}")]
     SharedKey {
-        /// The key.
+        /// The shared key.
         key: KeyDigest,
-        /// Who holds it.
+        /// One customer with the key.
         first: String,
-        /// Who holds it as well.
+        /// The other customer with the key.
         second: String,
     },
-    /// Its limit is no number of requests; it goes without one.
-    #[error("the limit of customer {0:?} is below zero or no number")]
-    LimitUnfit(String),
-    /// Its name cannot be told to servers; its requests are refused.
-    #[error("the name of customer {0:?} cannot stand in a header")]
-    NameUnfit(String),
+    /// The limit is invalid; the customer has no limit.
+    #[error("the limit of customer {0:?} is below zero or not a number")]
+    InvalidLimit(String),
+    /// The name cannot be sent to servers in a header; the customer's requests are refused.
+    #[error("the name of customer {0:?} is not a valid header value")]
+    InvalidName(String),
 }
 
-/// The customers of a configuration by their keys. The search takes the same time for any number.
+/// The customers of a configuration, indexed by key and by name.
 #[derive(Debug, Default)]
 pub struct CustomerTable {
     by_key: rustc_hash::FxHashMap<KeyDigest, rc::Rc<CustomerRule>>,
-    /// By a hash of the name.
+    /// Customers by the hash of their name.
     by_name: rustc_hash::FxHashMap<u64, rc::Rc<CustomerRule>>,
     faults: Vec<CustomerFault>,
 }
 
 impl CustomerTable {
-    /// Makes the table, and collects what is wrong.
+    /// Builds the table and collects the faults of the customers.
     ///
     /// ```
     /// use ledgespool::entry::customer::{CustomerRule, CustomerTable, KeyDigest};
@@ -155,7 +156,7 @@
             if http::HeaderValue::from_str(&rule.name).is_err() || rule.name.is_empty() {
                 table
                     .faults
-                    .push(CustomerFault::NameUnfit(rule.name.clone()));
+                    .push(CustomerFault::InvalidName(rule.name.clone()));
                 continue;
             }
             let name = hash::of_name(&rule.name);
@@ -163,20 +164,18 @@
             if rule.limit.is_some_and(|limit| !limit.is_sound()) {
                 table
                     .faults
-                    .push(CustomerFault::LimitUnfit(rule.name.clone()));
+                    .push(CustomerFault::InvalidLimit(rule.name.clone()));
             }
             if rule.keys.is_empty() {
-                table
-                    .faults
-                    .push(CustomerFault::WithoutKey(rule.name.clone()));
+                table.faults.push(CustomerFault::NoKeys(rule.name.clone()));
             }
             for key in &rule.keys {
-                let before = table.by_key.insert(*key, rc::Rc::clone(rule));
-                if let Some(before) = before.filter(|before| before.name != rule.name) {
+                let previous = table.by_key.insert(*key, rc::Rc::clone(rule));
+                if let Some(previous) = previous.filter(|previous| previous.name != rule.name) {
                     shared.push(*key);
                     table.faults.push(CustomerFault::SharedKey {
                         key: *key,
-                        first: before.name.clone(),
+                        first: previous.name.clone(),
                         second: rule.name.clone(),
                     });
                 }
@@ -186,13 +185,13 @@
         table
     }
 
-    /// The customer that holds a key.
+    /// Finds the customer with this key.
     #[must_use]
     pub fn holder_of(&self, key: KeyDigest) -> Option<&rc::Rc<CustomerRule>> {
         self.by_key.get(&key)
     }
 
-    /// The customer with this hash of its name.
+    /// Finds the customer whose name has this hash.
     #[must_use]
     pub fn named(&self, name_hash: u64) -> Option<&rc::Rc<CustomerRule>> {
         self.by_name.get(&name_hash)
@@ -206,15 +205,15 @@
             .any(|customer| customer.limit.is_some())
     }
 
-    /// What is wrong with the customers.
+    /// The faults found when the table was built.
     #[must_use]
     pub fn faults(&self) -> &[CustomerFault] {
         &self.faults
     }
 }
 
-/// The regions that may serve a request when its route has `homes` and its customer has
-/// `others`, both empty for all; `None` when they have none in common.
+/// The regions in both `homes`, those of a route, and `others`, those of a customer. An empty list
+/// allows all regions. Returns `None` if there is no common region.
 ///
 /// ```
 /// use ledgespool::entry::customer;
