--- a/src/entry/decision_log.rs
+++ b/src/entry/decision_log.rs
@@ -1,7 +1,8 @@
-//! Structured log lines on standard output, one JSON object each, of bounded volume.
+//! Writes events to standard output as JSON lines, with a rate limit per second.
 //!
-//! The serving thread only appends to memory. A writer thread takes whole batches, so a standard
-//! output that is not read never holds a request up; what finds no place is dropped and counted.
+//! The serving thread only appends to a batch in memory and a writer thread writes whole batches, so a
+//! standard output that nobody reads never delays a request. Batches that exceed the writer's queue are
+//! dropped and counted.
 
 use std::io::Write as _;
 use std::sync::mpsc;
@@ -12,25 +13,25 @@
 use crate::event::EventCode;
 use crate::timer;
 
-/// Batches that may wait for the writer.
-const MAX_BATCHES: usize = 16;
-/// A batch is handed over when it has grown to this size, in bytes, or at the next tick.
+/// Capacity of the writer's queue, in batches.
+const MAX_QUEUED_BATCHES: usize = 16;
+/// A batch is sent to the writer when it reaches this size, in bytes, or at the next tick.
 const BATCH_BYTES: usize = 8 * 1024;
-/// Lines of the ordinary kind within a second; more are counted and left out. At 80 requests a
-/// second, the usual load of a small host, nothing is left out.
-const ORDINARY_PER_S: u32 = 100;
-/// Lines about failures and changes within a second; they have a limit of their own, so that
-/// served requests never crowd them out.
-const IMPORTANT_PER_S: u32 = 200;
-/// The writer needs no more stack than a few calls.
+/// Maximum number of ordinary lines per second; more are counted and left out. The usual load of a
+/// small host, 80 requests per second, stays below it.
+const MAX_ORDINARY_PER_S: u32 = 100;
+/// Maximum number of important lines per second. Their limit is separate, so that lines about served
+/// requests never displace them.
+const MAX_IMPORTANT_PER_S: u32 = 200;
+/// Stack size of the writer thread, in bytes; its call depth is small.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// How much a line matters when there are too many.
+/// Which rate limit applies to a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineWeight {
     /// A request was served.
     Ordinary,
-    /// A request failed, or what the process believes has changed.
+    /// A request failed, or the state of the host or fleet changed.
     Important,
 }
 
@@ -55,7 +56,7 @@
     dropped: u64,
 }
 
-/// The log of one process, used from the serving thread.
+/// The event log of one process, used from the serving thread.
 #[derive(Debug)]
 pub struct DecisionLog {
     host: String,
@@ -66,7 +67,7 @@
 /// Counts of lines that were not written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LogLoss {
-    /// Left out because there were too many in a second.
+    /// Left out because of the rate limit.
     pub left_out: u64,
     /// Dropped because standard output was not read.
     pub dropped: u64,
@@ -78,15 +79,15 @@
     /// # Errors
     /// When the thread cannot be started.
     pub fn start(host: &str) -> std::io::Result<(Self, thread::JoinHandle<()>)> {
-        let (batches, waiting) = mpsc::sync_channel::<Vec<u8>>(MAX_BATCHES);
+        let (batches, queue) = mpsc::sync_channel::<Vec<u8>>(MAX_QUEUED_BATCHES);
         let writer = thread::Builder::new()
             .name("log".to_owned())
             .stack_size(STACK_BYTES)
-            .spawn(move || write_batches(&waiting))?;
+            .spawn(move || write_batches(&queue))?;
         Ok((Self::with_sender(host, Some(batches)), writer))
     }
 
-    /// A log that writes nothing, for tests.
+    /// Creates a log that writes nothing, for tests.
     #[must_use]
     pub fn silent(host: &str) -> Self {
         Self::with_sender(host, None)
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Writes one line.
+    /// Writes one line, unless the rate limit is reached.
     pub fn write(&self, event: EventCode, weight: LineWeight, fields: impl Serialize) {
         if self.batches.borrow().is_none() {
             return;
@@ -123,19 +124,19 @@
         state.batch.push(b'\n');
         state.batch_lines += 1;
         if state.batch.len() >= BATCH_BYTES {
-            self.hand_over(&mut state);
+            self.send_batch(&mut state);
         }
     }
 
-    /// Hands what has gathered to the writer.
+    /// Sends the current batch to the writer.
     pub fn flush(&self) {
         let mut state = self.state.borrow_mut();
         if !state.batch.is_empty() {
-            self.hand_over(&mut state);
+            self.send_batch(&mut state);
         }
     }
 
-    /// Writes what has gathered and lets the writer end; later lines go nowhere.
+    /// Sends the current batch and lets the writer thread end. Later lines are discarded.
     pub fn close(&self) {
         self.flush();
         *self.batches.borrow_mut() = None;
@@ -151,7 +152,7 @@
         }
     }
 
-    fn hand_over(&self, state: &mut LogState) {
+    fn send_batch(&self, state: &mut LogState) {
         let batch = std::mem::take(&mut state.batch);
         let lines = std::mem::take(&mut state.batch_lines);
         let batches = self.batches.borrow();
@@ -170,18 +171,18 @@
             self.important = 0;
         }
         let (count, limit) = match weight {
-            LineWeight::Ordinary => (&mut self.ordinary, ORDINARY_PER_S),
-            LineWeight::Important => (&mut self.important, IMPORTANT_PER_S),
+            LineWeight::Ordinary => (&mut self.ordinary, MAX_ORDINARY_PER_S),
+            LineWeight::Important => (&mut self.important, MAX_IMPORTANT_PER_S),
         };
         *count += 1;
         *count <= limit
     }
 }
 
-fn write_batches(waiting: &mpsc::Receiver<Vec<u8>>) {
+fn write_batches(queue: &mpsc::Receiver<Vec<u8>>) {
     let mut output = std::io::stdout().lock();
-    while let Ok(batch) = waiting.recv() {
-        // Nobody is left to tell of an output that is gone.
+    while let Ok(batch) = queue.recv() {
+        // There is no place to report that standard output is closed.
         let _written = output.write_all(&batch);
         let _flushed = output.flush();
     }
