--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -1,4 +1,4 @@
-//! What servers say of leaving and rest, and what a choice makes of it.
+//! Tests how the selection of a server treats servers that are leaving or in backoff.
 
 use std::collections::BTreeSet;
 
@@ -21,8 +21,8 @@
 use rand::rngs::SmallRng;
 
 const LEAVE_MS: u64 = 2_000;
-/// Draws of one choice: each outcome that may come has come by then.
-const DRAWS: u64 = 200;
+/// Number of seeds per selection, enough to get every possible outcome.
+const SEEDS: u64 = 200;
 
 fn halls() -> HallMap {
     [("east".to_owned(), "one".to_owned())]
@@ -95,57 +95,57 @@
     choice::choose(&query, &mut SmallRng::seed_from_u64(seed))
 }
 
-/// All servers that requests about any objects are offered to.
-fn offered(fleet: &Fleet, tried: &[&str], now: u64) -> BTreeSet<String> {
+/// All servers that are selected for requests with any object.
+fn selected(fleet: &Fleet, tried: &[&str], now: u64) -> BTreeSet<String> {
     let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
-    let choices = (0..DRAWS).map(|seed| choose(fleet, &tried, now, seed));
-    let offers = choices.filter_map(|choice| match choice {
+    let choices = (0..SEEDS).map(|seed| choose(fleet, &tried, now, seed));
+    let servers = choices.filter_map(|choice| match choice {
         ServerChoice::Offer(chosen) => Some(chosen.server.id.to_string()),
         ServerChoice::Refuse { .. } => None,
     });
-    offers.collect()
+    servers.collect()
 }
 
 fn ids(ids: &[&str]) -> BTreeSet<String> {
     ids.iter().map(|id| (*id).to_owned()).collect()
 }
 
-fn leave(server: &FleetServer, now: u64) {
+fn announce_leaving(server: &FleetServer, now: u64) {
     assert!(server.change_notice(|notice| notice.on_leaving(Moment(now))));
 }
 
-fn rest(server: &FleetServer, now: u64, until: u64) {
+fn back_off(server: &FleetServer, now: u64, until: u64) {
     server.change_notice(|notice| notice.on_rest(Moment(until), Moment(now)));
 }
 
 #[test]
-fn a_server_that_leaves_is_passed_over_beside_others() {
+fn a_leaving_server_gets_no_requests_if_others_take_them() {
     let fleet = fleet_of(&["a", "b", "c"]);
-    leave(server(&fleet, "a"), 10);
-    assert_eq!(offered(&fleet, &[], 20), ids(&["b", "c"]));
+    announce_leaving(server(&fleet, "a"), 10);
+    assert_eq!(selected(&fleet, &[], 20), ids(&["b", "c"]));
 }
 
 #[test]
-fn servers_that_all_leave_serve_for_half_of_their_time() {
+fn if_all_servers_are_leaving_they_serve_for_half_of_their_time() {
     let fleet = fleet_of(&["a", "b"]);
-    leave(server(&fleet, "a"), 0);
-    leave(server(&fleet, "b"), 0);
-    assert_eq!(offered(&fleet, &[], LEAVE_MS / 2 - 1), ids(&["a", "b"]));
-    assert_eq!(offered(&fleet, &[], LEAVE_MS / 2), ids(&[]));
+    announce_leaving(server(&fleet, "a"), 0);
+    announce_leaving(server(&fleet, "b"), 0);
+    assert_eq!(selected(&fleet, &[], LEAVE_MS / 2 - 1), ids(&["a", "b"]));
+    assert_eq!(selected(&fleet, &[], LEAVE_MS / 2), ids(&[]));
 }
 
 #[test]
-fn no_list_of_the_store_brings_a_server_that_leaves_back() {
+fn a_store_list_does_not_restore_a_leaving_server() {
     let mut fleet = fleet_of(&["a", "b"]);
-    leave(server(&fleet, "a"), 0);
+    announce_leaving(server(&fleet, "a"), 0);
     list(&mut fleet, &[object("a", 7, 1), object("b", 1, 1)], 8);
-    assert_eq!(offered(&fleet, &[], 10), ids(&["b"]));
+    assert_eq!(selected(&fleet, &[], 10), ids(&["b"]));
 }
 
 #[test]
-fn a_server_that_leaves_does_not_come_back_when_its_entry_lapses_and_returns() {
+fn a_leaving_server_stays_closed_after_its_entry_expires_and_returns() {
     let mut fleet = fleet_of(&["a", "b"]);
-    leave(server(&fleet, "a"), 0);
+    announce_leaving(server(&fleet, "a"), 0);
     list(&mut fleet, &[object("b", 1, 1)], 9);
     list(&mut fleet, &[object("a", 10, 1), object("b", 1, 1)], 10);
     assert_eq!(
@@ -155,83 +155,83 @@
 }
 
 #[test]
-fn another_start_of_a_server_that_left_serves() {
+fn a_new_incarnation_of_a_leaving_server_serves() {
     let mut fleet = fleet_of(&["a", "b"]);
-    leave(server(&fleet, "a"), 0);
+    announce_leaving(server(&fleet, "a"), 0);
     list(&mut fleet, &[object("a", 7, 2), object("b", 1, 1)], 8);
-    assert_eq!(offered(&fleet, &[], 10), ids(&["a", "b"]));
+    assert_eq!(selected(&fleet, &[], 10), ids(&["a", "b"]));
 }
 
 #[test]
-fn a_server_that_rests_is_passed_over_until_its_time_is_over() {
+fn a_server_gets_no_requests_until_its_backoff_ends() {
     let fleet = fleet_of(&["a", "b"]);
-    rest(server(&fleet, "a"), 0, 3_000);
-    assert_eq!(offered(&fleet, &[], 2_999), ids(&["b"]));
-    assert_eq!(offered(&fleet, &[], 3_000), ids(&["a", "b"]));
+    back_off(server(&fleet, "a"), 0, 3_000);
+    assert_eq!(selected(&fleet, &[], 2_999), ids(&["b"]));
+    assert_eq!(selected(&fleet, &[], 3_000), ids(&["a", "b"]));
 }
 
 #[test]
-fn a_later_word_lengthens_a_rest_and_never_shortens_it() {
+fn a_later_header_extends_a_backoff_and_never_shortens_it() {
     let fleet = fleet_of(&["a", "b"]);
-    rest(server(&fleet, "a"), 0, 3_000);
-    rest(server(&fleet, "a"), 100, 600);
-    assert_eq!(offered(&fleet, &[], 2_999), ids(&["b"]));
-    rest(server(&fleet, "a"), 200, 4_000);
-    assert_eq!(offered(&fleet, &[], 3_999), ids(&["b"]));
+    back_off(server(&fleet, "a"), 0, 3_000);
+    back_off(server(&fleet, "a"), 100, 600);
+    assert_eq!(selected(&fleet, &[], 2_999), ids(&["b"]));
+    back_off(server(&fleet, "a"), 200, 4_000);
+    assert_eq!(selected(&fleet, &[], 3_999), ids(&["b"]));
 }
 
 #[test]
-fn an_answer_to_an_earlier_request_does_not_end_a_rest() {
+fn an_answer_to_an_earlier_request_does_not_end_a_backoff() {
     let fleet = fleet_of(&["a", "b"]);
-    rest(server(&fleet, "a"), 0, 3_000);
+    back_off(server(&fleet, "a"), 0, 3_000);
     server(&fleet, "a").on_success(Moment(50));
-    assert_eq!(offered(&fleet, &[], 60), ids(&["b"]));
+    assert_eq!(selected(&fleet, &[], 60), ids(&["b"]));
 }
 
 #[test]
-fn a_server_that_has_rested_gets_one_request_at_a_time_until_it_answers() {
+fn after_a_backoff_a_server_gets_one_request_at_a_time_until_it_answers() {
     let fleet = fleet_of(&["a", "b"]);
-    let rested = server(&fleet, "a");
-    rest(rested, 0, 3_000);
-    rested.change_notice(|notice| notice.on_sent(Moment(3_000)));
-    assert_eq!(offered(&fleet, &[], 3_100), ids(&["b"]));
-    rested.on_success(Moment(3_200));
-    rested.change_notice(|notice| notice.on_sent(Moment(3_250)));
-    assert_eq!(offered(&fleet, &[], 3_300), ids(&["a", "b"]));
+    let server = server(&fleet, "a");
+    back_off(server, 0, 3_000);
+    server.change_notice(|notice| notice.on_sent(Moment(3_000)));
+    assert_eq!(selected(&fleet, &[], 3_100), ids(&["b"]));
+    server.on_success(Moment(3_200));
+    server.change_notice(|notice| notice.on_sent(Moment(3_250)));
+    assert_eq!(selected(&fleet, &[], 3_300), ids(&["a", "b"]));
 }
 
 #[test]
-fn a_server_that_has_rested_is_tried_again_when_the_trial_brings_no_answer() {
+fn after_a_backoff_another_probe_follows_an_unanswered_one() {
     let fleet = fleet_of(&["a", "b"]);
-    rest(server(&fleet, "a"), 0, 3_000);
+    back_off(server(&fleet, "a"), 0, 3_000);
     server(&fleet, "a").change_notice(|notice| notice.on_sent(Moment(3_000)));
-    assert_eq!(offered(&fleet, &[], 3_999), ids(&["b"]));
-    assert_eq!(offered(&fleet, &[], 4_000), ids(&["a", "b"]));
+    assert_eq!(selected(&fleet, &[], 3_999), ids(&["b"]));
+    assert_eq!(selected(&fleet, &[], 4_000), ids(&["a", "b"]));
 }
 
-/// A large answer may take longer than any rest.
+/// A large answer may take longer than a backoff, so a request that is still in flight is no probe.
 #[test]
-fn a_request_from_before_a_rest_does_not_keep_others_away_after_it() {
+fn a_request_sent_before_a_backoff_does_not_block_others_after_it() {
     let fleet = fleet_of(&["a", "b"]);
     server(&fleet, "a").begin();
-    rest(server(&fleet, "a"), 0, 3_000);
-    assert_eq!(offered(&fleet, &[], 3_100), ids(&["a", "b"]));
+    back_off(server(&fleet, "a"), 0, 3_000);
+    assert_eq!(selected(&fleet, &[], 3_100), ids(&["a", "b"]));
 }
 
 #[test]
-fn a_request_that_was_turned_away_is_no_trial_of_a_server_that_has_rested() {
+fn a_retried_request_probes_a_server_after_its_backoff_only_as_last_choice() {
     let fleet = fleet_of(&["a", "b", "c"]);
-    rest(server(&fleet, "a"), 0, 3_000);
-    assert_eq!(offered(&fleet, &["b"], 3_100), ids(&["c"]));
-    assert_eq!(offered(&fleet, &["b", "c"], 3_100), ids(&["a"]));
+    back_off(server(&fleet, "a"), 0, 3_000);
+    assert_eq!(selected(&fleet, &["b"], 3_100), ids(&["c"]));
+    assert_eq!(selected(&fleet, &["b", "c"], 3_100), ids(&["a"]));
 }
 
 #[test]
-fn when_all_rest_callers_come_back_after_the_first_rest_and_apart() {
+fn if_all_servers_are_in_backoff_callers_retry_after_the_first_ends_at_different_times() {
     let fleet = fleet_of(&["a", "b"]);
-    rest(server(&fleet, "a"), 0, 3_000);
-    rest(server(&fleet, "b"), 0, 5_000);
-    let come_back = (0..DRAWS).map(|seed| match choose(&fleet, &[], 1_000, seed) {
+    back_off(server(&fleet, "a"), 0, 3_000);
+    back_off(server(&fleet, "b"), 0, 5_000);
+    let come_back = (0..SEEDS).map(|seed| match choose(&fleet, &[], 1_000, seed) {
         ServerChoice::Refuse {
             reason: NoServer::AllLimited,
             come_back_ms,
@@ -247,10 +247,10 @@
 }
 
 #[test]
-fn a_server_that_leaves_does_not_count_as_one_that_takes_requests_later() {
+fn a_leaving_server_in_backoff_does_not_count_as_one_that_takes_requests_later() {
     let fleet = fleet_of(&["a"]);
-    rest(server(&fleet, "a"), 0, 3_000);
-    leave(server(&fleet, "a"), 10);
+    back_off(server(&fleet, "a"), 0, 3_000);
+    announce_leaving(server(&fleet, "a"), 10);
     assert!(matches!(
         choose(&fleet, &[], 20, 1),
         ServerChoice::Refuse {
