--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -136,7 +136,7 @@
         self.metrics.borrow_mut().rests += 1;
         let now = self.now();
         let until = now.plus(backoff.as_millis() as u64);
-        if server.change_notice(|notice| notice.on_rest(until, now)) {
+        if server.change_notice(|notice| notice.on_backoff(until, now)) {
             let fields = json!({
                 "server": server.id,
                 "hall": server.hall,
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -22,7 +22,7 @@
 use super::region_distance::RegionDistances;
 use super::region_shares::RegionWeights;
 use super::server_limit::table::ServerLimitTable;
-use super::server_notice::ServerStanding;
+use super::server_notice::ServerAvailability;
 use crate::rollout::plan::VersionRule;
 use crate::timer::Moment;
 
@@ -126,9 +126,9 @@
 
 /// Chooses a server.
 pub fn choose(query: &ChoiceQuery<'_>, random: &mut SmallRng) -> ServerChoice {
-    let mut ranked = find(query, ServerStanding::Regular, random);
+    let mut ranked = find(query, ServerAvailability::Regular, random);
     if ranked.is_empty() {
-        ranked = find(query, ServerStanding::LastResort, random);
+        ranked = find(query, ServerAvailability::LastResort, random);
     }
     if ranked.is_empty() {
         return match first_opening(query) {
@@ -153,7 +153,7 @@
 /// The servers of this standing that are compared.
 fn find(
     query: &ChoiceQuery<'_>,
-    standing: ServerStanding,
+    standing: ServerAvailability,
     random: &mut SmallRng,
 ) -> Vec<rc::Rc<FleetServer>> {
     match query.object {
@@ -189,19 +189,19 @@
     first_runs.position(|candidate| has_room(query, &candidate.server))
 }
 
-fn fits(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerStanding) -> bool {
+fn fits(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerAvailability) -> bool {
     standing_for(query, server) == standing
         && query.limits.is_open(server.start_hash, query.now)
         && fits_later(query, server)
 }
 
 /// A request that another server turned away is no trial for one that has just rested: it may be its last attempt.
-fn standing_for(query: &ChoiceQuery<'_>, server: &FleetServer) -> ServerStanding {
-    let standing = server.standing(query.leave_ms, query.now);
+fn standing_for(query: &ChoiceQuery<'_>, server: &FleetServer) -> ServerAvailability {
+    let standing = server.availability(query.leave_ms, query.now);
     let is_repeat = !query.tried.is_empty();
     match standing {
-        ServerStanding::Regular if is_repeat && server.notice().is_on_trial(query.now) => {
-            ServerStanding::LastResort
+        ServerAvailability::Regular if is_repeat && server.notice().needs_probe(query.now) => {
+            ServerAvailability::LastResort
         }
         standing => standing,
     }
@@ -225,13 +225,13 @@
 /// weight; in the home places they are multiplied by the region's.
 #[must_use]
 pub fn rank_by_object(query: &ChoiceQuery<'_>, object: u64) -> Vec<rc::Rc<FleetServer>> {
-    rank(query, object, ServerStanding::Regular)
+    rank(query, object, ServerAvailability::Regular)
 }
 
 fn rank(
     query: &ChoiceQuery<'_>,
     object: u64,
-    standing: ServerStanding,
+    standing: ServerAvailability,
 ) -> Vec<rc::Rc<FleetServer>> {
     let most_slots = query.servers.iter().map(|server| server.slots).max();
     let most_slots = f64::from(most_slots.unwrap_or(1));
@@ -305,7 +305,7 @@
 /// good as all, and hosts do not all run to the same server (Mitzenmacher, 2001).
 fn draw(
     query: &ChoiceQuery<'_>,
-    standing: ServerStanding,
+    standing: ServerAvailability,
     random: &mut SmallRng,
 ) -> Vec<rc::Rc<FleetServer>> {
     let servers = query.servers;
--- a/src/entry/choice_refusal.rs
+++ b/src/entry/choice_refusal.rs
@@ -18,7 +18,7 @@
     let held = servers.filter(|server| server.takes_work() && choice::fits_later(query, server));
     let opens = held.filter_map(|server| {
         let limit = query.limits.opens_at(server.start_hash);
-        limit.max(server.notice().rest_until())
+        limit.max(server.notice().backoff_until())
     });
     opens.min()
 }
--- a/src/entry/decision_log.rs
+++ b/src/entry/decision_log.rs
@@ -28,7 +28,7 @@
 
 /// Which rate limit applies to a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LineWeight {
+pub enum LogPriority {
     /// A request was served.
     Ordinary,
     /// A request failed, or the state of the host or fleet changed.
@@ -102,13 +102,13 @@
     }
 
     /// Writes one line, unless the rate limit is reached.
-    pub fn write(&self, event: EventCode, weight: LineWeight, fields: impl Serialize) {
+    pub fn write(&self, event: EventCode, priority: LogPriority, fields: impl Serialize) {
         if self.batches.borrow().is_none() {
             return;
         }
         let unix_ms = timer::unix_millis();
         let mut state = self.state.borrow_mut();
-        if !state.admit(weight, unix_ms / 1_000) {
+        if !state.admit(priority, unix_ms / 1_000) {
             state.left_out += 1;
             return;
         }
@@ -164,15 +164,15 @@
 }
 
 impl LogState {
-    fn admit(&mut self, weight: LineWeight, second: u64) -> bool {
+    fn admit(&mut self, priority: LogPriority, second: u64) -> bool {
         if second != self.second {
             self.second = second;
             self.ordinary = 0;
             self.important = 0;
         }
-        let (count, limit) = match weight {
-            LineWeight::Ordinary => (&mut self.ordinary, MAX_ORDINARY_PER_S),
-            LineWeight::Important => (&mut self.important, MAX_IMPORTANT_PER_S),
+        let (count, limit) = match priority {
+            LogPriority::Ordinary => (&mut self.ordinary, MAX_ORDINARY_PER_S),
+            LogPriority::Important => (&mut self.important, MAX_IMPORTANT_PER_S),
         };
         *count += 1;
         *count <= limit
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -115,7 +115,7 @@
     pub fn on_late_notice(&mut self, server: &FleetServer, now: Moment) {
         let notice = server.notice();
         match self.index.of_start(server.start_hash) {
-            Some(current) => current.change_notice(|known| known.join(notice)),
+            Some(current) => current.change_notice(|known| known.merge(notice)),
             None => self.past_notices.put(server.start_hash, notice, now),
         }
     }
--- a/src/entry/fleet_server.rs
+++ b/src/entry/fleet_server.rs
@@ -6,7 +6,7 @@
 use super::hash;
 use super::seen_server::{SeenPace, SeenServer, ToldLoad};
 use super::server::{ServerLoad, ServerRecord, ServerState};
-use super::server_notice::{ServerNotice, ServerStanding};
+use super::server_notice::{ServerAvailability, ServerNotice};
 use super::shared_names::SharedNames;
 use crate::rollout::order::VersionTag;
 use crate::timer::Moment;
@@ -121,12 +121,12 @@
 
     /// Whether it may get new work now; `leave_ms` is how long a server that leaves serves on at least.
     #[must_use]
-    pub fn standing(&self, leave_ms: u64, now: Moment) -> ServerStanding {
+    pub fn availability(&self, leave_ms: u64, now: Moment) -> ServerAvailability {
         let view = self.view.borrow();
         if view.is_in_service() {
-            view.notice().standing(leave_ms, now)
+            view.notice().availability(leave_ms, now)
         } else {
-            ServerStanding::Closed
+            ServerAvailability::Closed
         }
     }
 
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -15,7 +15,7 @@
 use super::catch_up::OpenFetches;
 use super::configuration::{RouteTable, ServiceConfiguration};
 use super::customer::CustomerTable;
-use super::decision_log::{DecisionLog, LineWeight};
+use super::decision_log::{DecisionLog, LogPriority};
 use super::evacuation::EvacuationList;
 use super::fleet::Fleet;
 use super::fleet_server::FleetServer;
@@ -225,7 +225,7 @@
 
     /// Writes an important log line.
     pub fn note(&self, event: EventCode, fields: serde_json::Value) {
-        self.log.write(event, LineWeight::Important, fields);
+        self.log.write(event, LogPriority::Important, fields);
     }
 
     /// Whether callers may be sent here.
@@ -257,7 +257,7 @@
             store_era: self.store_era.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
-            resting_servers: self.count_servers(|server| server.notice().is_resting(now)),
+            resting_servers: self.count_servers(|server| server.notice().is_in_backoff(now)),
             idle_connections: self.pool.borrow().idle_count(),
             open_requests: self.open_requests(),
             log_left_out: loss.left_out,
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -104,7 +104,7 @@
             return;
         }
         self.on_sent(RequestFailure::not_run(SHED_COME_BACK_MS));
-        let wants_rest = server.notice().is_resting(self.host.now());
+        let wants_rest = server.notice().is_in_backoff(self.host.now());
         if !self.asked_again && !wants_rest {
             self.asked_again = true;
             self.tried.retain(|id| **id != *server.id);
--- a/src/entry/past_notices.rs
+++ b/src/entry/past_notices.rs
@@ -23,7 +23,7 @@
 impl PastNotices {
     /// Retains the notice of a server that is gone.
     pub(super) fn put(&mut self, start_hash: u64, notice: ServerNotice, now: Moment) {
-        if notice.says_something() {
+        if notice.has_announcement() {
             let past = PastNotice { notice, since: now };
             self.notices.insert(start_hash, past);
         }
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -11,7 +11,7 @@
 use super::answer::{AnswerBody, StreamEnd};
 use super::configuration::RouteRule;
 use super::customer::CustomerRule;
-use super::decision_log::LineWeight;
+use super::decision_log::LogPriority;
 use super::exchange;
 use super::fingerprint::RequestFingerprint;
 use super::fleet_server::FleetServer;
@@ -144,7 +144,7 @@
             let fields = json!({ "id": self.id, "route": route, "after_ms": millis });
             self.host
                 .log
-                .write(EventCode::CallerLeft, LineWeight::Ordinary, fields);
+                .write(EventCode::CallerLeft, LogPriority::Ordinary, fields);
         }
     }
 }
@@ -237,5 +237,5 @@
         "offer": answered.offer,
     });
     host.log
-        .write(EventCode::RequestAnswered, LineWeight::Ordinary, fields);
+        .write(EventCode::RequestAnswered, LogPriority::Ordinary, fields);
 }
--- a/src/entry/send_gate.rs
+++ b/src/entry/send_gate.rs
@@ -14,7 +14,7 @@
 use super::host::EntryHost;
 use super::pool::ServerSender;
 use super::server_limit::right::SendRight;
-use super::server_notice::ServerStanding;
+use super::server_notice::ServerAvailability;
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
@@ -64,10 +64,10 @@
             return Err(WithheldCause::HallEvacuated);
         }
         let leave_ms = host.settings().bounds.leave_ms();
-        match server.standing(leave_ms, host.now()) {
-            ServerStanding::Closed => return Err(WithheldCause::ServerClosed),
-            ServerStanding::LastResort => note_last_resort(host, server, id),
-            ServerStanding::Regular => {}
+        match server.availability(leave_ms, host.now()) {
+            ServerAvailability::Closed => return Err(WithheldCause::ServerClosed),
+            ServerAvailability::LastResort => note_last_resort(host, server, id),
+            ServerAvailability::Regular => {}
         }
         let now = host.now();
         server.change_notice(|notice| notice.on_sent(now));
--- a/src/entry/server_notice.rs
+++ b/src/entry/server_notice.rs
@@ -13,7 +13,7 @@
 
 /// Whether a server may get new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServerStanding {
+pub enum ServerAvailability {
     /// It may get any request.
     Regular,
     /// It gets only requests that no other server takes.
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerNotice {
     leaving_since: Option<Moment>,
-    rest_until: Option<Moment>,
+    backoff_until: Option<Moment>,
     /// When the last probe request after a backoff was sent.
     probed_at: Option<Moment>,
     /// Whether it has sent an unreadable header.
@@ -45,9 +45,9 @@
 
     /// Records a backoff until the given time; returns whether the server was not in backoff before. A
     /// later end of a previous backoff is kept.
-    pub fn on_rest(&mut self, until: Moment, now: Moment) -> bool {
-        let is_new = !self.is_resting(now);
-        self.rest_until = self.rest_until.max(Some(until));
+    pub fn on_backoff(&mut self, until: Moment, now: Moment) -> bool {
+        let is_new = !self.is_in_backoff(now);
+        self.backoff_until = self.backoff_until.max(Some(until));
         self.probed_at = None;
         is_new
     }
@@ -58,16 +58,16 @@
     }
 
     /// Merges another notice of the same incarnation.
-    pub fn join(&mut self, other: Self) {
+    pub fn merge(&mut self, other: Self) {
         let earlier = [self.leaving_since, other.leaving_since];
         self.leaving_since = earlier.into_iter().flatten().min();
-        self.rest_until = self.rest_until.max(other.rest_until);
+        self.backoff_until = self.backoff_until.max(other.backoff_until);
     }
 
     /// Whether the notice contains an announcement.
     #[must_use]
-    pub const fn says_something(&self) -> bool {
-        self.leaving_since.is_some() || self.rest_until.is_some()
+    pub const fn has_announcement(&self) -> bool {
+        self.leaving_since.is_some() || self.backoff_until.is_some()
     }
 
     /// When the server first announced that it is leaving. This holds for the whole incarnation.
@@ -78,34 +78,34 @@
 
     /// Whether the server is in backoff.
     #[must_use]
-    pub fn is_resting(&self, now: Moment) -> bool {
-        self.rest_until.is_some_and(|until| now < until)
+    pub fn is_in_backoff(&self, now: Moment) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     /// Whether the backoff is over and no answer has shown yet that the server works again.
     #[must_use]
-    pub fn is_on_trial(&self, now: Moment) -> bool {
-        self.rest_until.is_some_and(|until| until <= now)
+    pub fn needs_probe(&self, now: Moment) -> bool {
+        self.backoff_until.is_some_and(|until| until <= now)
     }
 
     /// Records a request to the server. After a backoff, that request is a probe.
     pub fn on_sent(&mut self, now: Moment) {
-        if self.is_on_trial(now) {
+        if self.needs_probe(now) {
             self.probed_at = Some(now);
         }
     }
 
     /// Whether a probe request was sent recently and not answered yet.
     #[must_use]
-    pub fn is_being_tried(&self, now: Moment) -> bool {
+    pub fn is_probing(&self, now: Moment) -> bool {
         let is_recent = |probed| now.since(probed) < PROBE_INTERVAL_MS;
-        self.is_on_trial(now) && self.probed_at.is_some_and(is_recent)
+        self.needs_probe(now) && self.probed_at.is_some_and(is_recent)
     }
 
     /// Records an answer. After a backoff, it completes the probe.
     pub fn on_served(&mut self, now: Moment) {
-        if self.is_on_trial(now) {
-            self.rest_until = None;
+        if self.needs_probe(now) {
+            self.backoff_until = None;
             self.probed_at = None;
         }
     }
@@ -113,29 +113,31 @@
     /// Whether the server may get new requests. A leaving server keeps serving for at least `leave_ms`.
     ///
     /// ```
-    /// use ledgespool::entry::server_notice::{ServerNotice, ServerStanding};
+    /// use ledgespool::entry::server_notice::{ServerNotice, ServerAvailability};
     /// use ledgespool::timer::Moment;
     /// let mut notice = ServerNotice::default();
     /// notice.on_leaving(Moment(0));
-    /// assert_eq!(notice.standing(2_000, Moment(10)), ServerStanding::LastResort);
-    /// assert_eq!(notice.standing(2_000, Moment(1_000)), ServerStanding::Closed);
+    /// assert_eq!(notice.availability(2_000, Moment(10)), ServerAvailability::LastResort);
+    /// assert_eq!(notice.availability(2_000, Moment(1_000)), ServerAvailability::Closed);
     /// ```
     #[must_use]
-    pub fn standing(&self, leave_ms: u64, now: Moment) -> ServerStanding {
-        if self.is_resting(now) || self.is_being_tried(now) {
-            return ServerStanding::Closed;
+    pub fn availability(&self, leave_ms: u64, now: Moment) -> ServerAvailability {
+        if self.is_in_backoff(now) || self.is_probing(now) {
+            return ServerAvailability::Closed;
         }
         let last_resort_ms = leave_ms as f64 * LAST_RESORT_SHARE;
         match self.leaving_since {
-            None => ServerStanding::Regular,
-            Some(since) if (now.since(since) as f64) < last_resort_ms => ServerStanding::LastResort,
-            Some(_) => ServerStanding::Closed,
+            None => ServerAvailability::Regular,
+            Some(since) if (now.since(since) as f64) < last_resort_ms => {
+                ServerAvailability::LastResort
+            }
+            Some(_) => ServerAvailability::Closed,
         }
     }
 
     /// When the current or previous backoff ends.
     #[must_use]
-    pub const fn rest_until(&self) -> Option<Moment> {
-        self.rest_until
+    pub const fn backoff_until(&self) -> Option<Moment> {
+        self.backoff_until
     }
 }
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -11,7 +11,7 @@
 use ledgespool::entry::region_shares::RegionWeights;
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
-use ledgespool::entry::server_notice::ServerStanding;
+use ledgespool::entry::server_notice::ServerAvailability;
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectContent, StoredObject};
 use ledgespool::rollout::order::VersionTag;
@@ -115,7 +115,7 @@
 }
 
 fn back_off(server: &FleetServer, now: u64, until: u64) {
-    server.change_notice(|notice| notice.on_rest(Moment(until), Moment(now)));
+    server.change_notice(|notice| notice.on_backoff(Moment(until), Moment(now)));
 }
 
 #[test]
@@ -149,8 +149,8 @@
     list(&mut fleet, &[object("b", 1, 1)], 9);
     list(&mut fleet, &[object("a", 10, 1), object("b", 1, 1)], 10);
     assert_eq!(
-        server(&fleet, "a").standing(LEAVE_MS, Moment(10_000)),
-        ServerStanding::Closed
+        server(&fleet, "a").availability(LEAVE_MS, Moment(10_000)),
+        ServerAvailability::Closed
     );
 }
 
