--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -53,7 +53,7 @@
     fn backoff(&self) -> BackoffHeader {
         let is_refusal = self.status == http::StatusCode::SERVICE_UNAVAILABLE && self.head.not_run;
         if is_refusal {
-            self.head.come_back
+            self.head.retry_after
         } else {
             BackoffHeader::Absent
         }
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -126,7 +126,7 @@
         }
         if let Some(retry_after_ms) = failure.retry_after_ms {
             let after = time::Duration::from_millis(retry_after_ms);
-            host.wire.write_come_back(response.headers_mut(), after);
+            host.wire.write_retry_after(response.headers_mut(), after);
         }
         close_if_leaving(host, response.headers_mut());
         response
--- a/src/entry/wire.rs
+++ b/src/entry/wire.rs
@@ -54,7 +54,7 @@
     /// Whether the server states that it is leaving.
     pub leaving: LeavingHeader,
     /// When the server accepts requests again, if stated.
-    pub come_back: BackoffHeader,
+    pub retry_after: BackoffHeader,
 }
 
 /// A caller's lookup of entry hosts.
@@ -96,7 +96,7 @@
     fn read_answer<'a>(&self, headers: &'a http::HeaderMap) -> ServerHead<'a>;
 
     /// Writes the retry time of a refusal.
-    fn write_come_back(&self, headers: &mut http::HeaderMap, after: time::Duration);
+    fn write_retry_after(&self, headers: &mut http::HeaderMap, after: time::Duration);
 
     /// Reads a request to the host itself; `None` for an unknown path.
     fn read_host_call(&self, method: &http::Method, uri: &http::Uri) -> Option<HostCall>;
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -231,7 +231,7 @@
     let fleet = fleet_of(&["a", "b"]);
     back_off(server(&fleet, "a"), 0, 3_000);
     back_off(server(&fleet, "b"), 0, 5_000);
-    let come_back = (0..SEEDS).map(|seed| match choose(&fleet, &[], 1_000, seed) {
+    let retry_after = (0..SEEDS).map(|seed| match choose(&fleet, &[], 1_000, seed) {
         ServerChoice::Refuse {
             reason: NoServer::AllLimited,
             come_back_ms,
@@ -239,9 +239,9 @@
         } => come_back_ms,
         other => panic!("{other:?}"),
     });
-    let come_back: Vec<u64> = come_back.collect();
-    let earliest = come_back.iter().min().expect("some");
-    let latest = come_back.iter().max().expect("some");
+    let retry_after: Vec<u64> = retry_after.collect();
+    let earliest = retry_after.iter().min().expect("some");
+    let latest = retry_after.iter().max().expect("some");
     assert!(*earliest >= 2_000, "{earliest}");
     assert!(*latest < 4_000 && latest > earliest, "{earliest} {latest}");
 }
