--- a/src/entry/answer_end.rs
+++ b/src/entry/answer_end.rs
@@ -49,7 +49,7 @@
     if answer.not_run || misdirected {
         return Some(OfferEnd::NotRun {
             status: head.status,
-            had_room: answer.load.is_some_and(ServerLoad::has_room),
+            had_free_slot: answer.load.is_some_and(ServerLoad::has_free_slot),
         });
     }
     loss_cause(head, answer).map(OfferEnd::Lost)
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -64,7 +64,7 @@
         /// The status of its answer.
         status: http::StatusCode,
         /// Whether it reported free slots, so that a lack of capacity is not the reason.
-        had_room: bool,
+        had_free_slot: bool,
     },
     /// Another incarnation of a server listens on the address; the request has not run.
     OtherServer,
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -95,11 +95,11 @@
         &mut self,
         server: &FleetServer,
         status: http::StatusCode,
-        had_room: bool,
+        had_free_slot: bool,
     ) {
         self.host.metrics.borrow_mut().shed += 1;
         self.note_offer(server, status.as_str());
-        if !had_room {
+        if !had_free_slot {
             self.on_sent(self.not_run());
             return;
         }
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -256,7 +256,10 @@
             OfferEnd::NotSent => self.on_not_sent(&server),
             OfferEnd::Withheld(cause) => self.note_offer(&server, cause.as_str()),
             OfferEnd::OutOfTime => self.note_offer(&server, "out of time before it was sent"),
-            OfferEnd::NotRun { status, had_room } => self.on_not_run(&server, status, had_room),
+            OfferEnd::NotRun {
+                status,
+                had_free_slot,
+            } => self.on_not_run(&server, status, had_free_slot),
             OfferEnd::OtherServer => self.on_other_server(&server),
             OfferEnd::Lost(cause) => self.on_lost(&server, cause)?,
         }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -82,11 +82,11 @@
     /// ```
     /// use ledgespool::entry::server::ServerLoad;
     /// let load = |running, waiting| ServerLoad { running, waiting, slots: 3 };
-    /// assert!(load(2, 0).has_room());
-    /// assert!(!load(3, 0).has_room() && !load(2, 1).has_room());
+    /// assert!(load(2, 0).has_free_slot());
+    /// assert!(!load(3, 0).has_free_slot() && !load(2, 1).has_free_slot());
     /// ```
     #[must_use]
-    pub const fn has_room(self) -> bool {
+    pub const fn has_free_slot(self) -> bool {
         self.waiting == 0 && self.running < self.slots
     }
 }
