--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -81,12 +81,12 @@
     ///
     /// ```
     /// use ledgespool::entry::configuration::RequestKind;
-    /// assert!(RequestKind::Download.may_repeat());
-    /// assert!(!RequestKind::Once.may_repeat());
-    /// assert!(!RequestKind::Upload.may_repeat());
+    /// assert!(RequestKind::Download.is_retryable());
+    /// assert!(!RequestKind::Once.is_retryable());
+    /// assert!(!RequestKind::Upload.is_retryable());
     /// ```
     #[must_use]
-    pub const fn may_repeat(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Repeatable | Self::Download)
     }
 
@@ -96,11 +96,11 @@
     ///
     /// ```
     /// use ledgespool::entry::configuration::RequestKind;
-    /// assert!(RequestKind::Download.stays_near());
-    /// assert!(!RequestKind::Upload.stays_near());
+    /// assert!(RequestKind::Download.prefers_local_region());
+    /// assert!(!RequestKind::Upload.prefers_local_region());
     /// ```
     #[must_use]
-    pub const fn stays_near(self) -> bool {
+    pub const fn prefers_local_region(self) -> bool {
         matches!(self, Self::Download)
     }
 }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -33,7 +33,7 @@
     /// The whole body.
     pub body: Bytes,
     /// Whether the request is safe to run more than once.
-    pub may_repeat: bool,
+    pub is_retryable: bool,
 }
 
 /// A server's answer to the request.
@@ -150,7 +150,7 @@
     terms: OfferTerms,
 ) -> OfferEnd {
     let _slot = SlotGuard::at(server);
-    let must_be_fresh = !request.may_repeat;
+    let must_be_fresh = !request.is_retryable;
     let idle = host
         .pool
         .borrow_mut()
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -128,7 +128,7 @@
             quarantine_role::on_broken(self.host, server, self.open.fingerprint());
         }
         let failure = RequestFailure::lost(cause.as_str());
-        if !self.open.forward.may_repeat {
+        if !self.open.forward.is_retryable {
             return Err(failure);
         }
         self.on_sent(failure);
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -189,7 +189,7 @@
             evacuated: &evacuated,
             tried: &self.tried,
             versions,
-            near: route.kind.stays_near(),
+            near: route.kind.prefers_local_region(),
             usual_ms: self.usual_ms(),
             first_ms: self.first_ms(),
             patience_ms: goal_left_ms as f64,
--- a/src/entry/open_request.rs
+++ b/src/entry/open_request.rs
@@ -83,7 +83,7 @@
                 uri: path_only(&head.uri),
                 headers,
                 body,
-                may_repeat: route.kind.may_repeat(),
+                is_retryable: route.kind.is_retryable(),
             },
             route,
         })
