--- a/benches/customers.rs
+++ b/benches/customers.rs
@@ -25,7 +25,9 @@
         let table = CustomerTable::from_rules(&rules);
         let search = measure(SEARCHES, keys, |key| {
             let digest = KeyDigest::of_key(key);
-            table.holder_of(digest).map(|customer| customer.name.len())
+            table
+                .find_by_key(digest)
+                .map(|customer| customer.name.len())
         });
         let scan = measure(SCANS, keys, |key| {
             let digest = KeyDigest::of_key(key);
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -222,7 +222,7 @@
 
     /// Finds the route of `host` with the longest prefix of `path`.
     #[must_use]
-    pub fn route_of(&self, host: &str, path: &str) -> Option<&rc::Rc<RouteRule>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&rc::Rc<RouteRule>> {
         let first = self
             .routes
             .partition_point(|route| route.host.as_str() < host);
--- a/src/entry/customer.rs
+++ b/src/entry/customer.rs
@@ -73,11 +73,11 @@
     ///
     /// ```
     /// use ledgespool::entry::customer::RateLimit;
-    /// assert!(RateLimit { per_s: 0.5, burst: 0.0 }.is_sound());
-    /// assert!(!RateLimit { per_s: -1.0, burst: 0.0 }.is_sound());
+    /// assert!(RateLimit { per_s: 0.5, burst: 0.0 }.is_valid());
+    /// assert!(!RateLimit { per_s: -1.0, burst: 0.0 }.is_valid());
     /// ```
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let is_rate = self.per_s.is_finite() && self.per_s > 0.0;
         is_rate && self.burst.is_finite() && self.burst >= 0.0
     }
@@ -145,8 +145,8 @@
     ///     homes: Vec::new(),
     /// };
     /// let table = CustomerTable::from_rules(&[std::rc::Rc::new(rule)]);
-    /// assert_eq!(table.holder_of(key).map(|customer| customer.name.as_str()), Some("mill"));
-    /// assert!(table.holder_of(KeyDigest::of_key(b"other")).is_none());
+    /// assert_eq!(table.find_by_key(key).map(|customer| customer.name.as_str()), Some("mill"));
+    /// assert!(table.find_by_key(KeyDigest::of_key(b"other")).is_none());
     /// ```
     #[must_use]
     pub fn from_rules(rules: &[rc::Rc<CustomerRule>]) -> Self {
@@ -161,7 +161,7 @@
             }
             let name = hash::of_name(&rule.name);
             table.by_name.insert(name, rc::Rc::clone(rule));
-            if rule.limit.is_some_and(|limit| !limit.is_sound()) {
+            if rule.limit.is_some_and(|limit| !limit.is_valid()) {
                 table
                     .faults
                     .push(CustomerFault::InvalidLimit(rule.name.clone()));
@@ -187,13 +187,13 @@
 
     /// Finds the customer with this key.
     #[must_use]
-    pub fn holder_of(&self, key: KeyDigest) -> Option<&rc::Rc<CustomerRule>> {
+    pub fn find_by_key(&self, key: KeyDigest) -> Option<&rc::Rc<CustomerRule>> {
         self.by_key.get(&key)
     }
 
     /// Finds the customer whose name has this hash.
     #[must_use]
-    pub fn named(&self, name_hash: u64) -> Option<&rc::Rc<CustomerRule>> {
+    pub fn find_by_name_hash(&self, name_hash: u64) -> Option<&rc::Rc<CustomerRule>> {
         self.by_name.get(&name_hash)
     }
 
--- a/src/entry/limit_role/messages.rs
+++ b/src/entry/limit_role/messages.rs
@@ -22,7 +22,8 @@
     fn answer_request(&self, request: RightRequest) -> RightAnswer {
         let routes = self.routes();
         let customers = routes.as_ref().and_then(|routes| routes.customers());
-        let customer = customers.and_then(|customers| customers.named(request.customer));
+        let customer =
+            customers.and_then(|customers| customers.find_by_name_hash(request.customer));
         let bound = customer.and_then(|customer| self.limit_bound(customer));
         let verdict = bound.map_or(RightVerdict::NotHere, |bound| {
             let mut grantor = self.limits.grantor.borrow_mut();
--- a/src/entry/limit_role/mod.rs
+++ b/src/entry/limit_role/mod.rs
@@ -193,7 +193,7 @@
 
     fn limit_bound(&self, customer: &CustomerRule) -> Option<LimitBound> {
         let bounds = self.settings().bounds;
-        let limit = customer.limit.filter(RateLimit::is_sound)?;
+        let limit = customer.limit.filter(RateLimit::is_valid)?;
         Some(LimitBound {
             limit,
             tolerance: LimitTolerance {
--- a/src/entry/open_request.rs
+++ b/src/entry/open_request.rs
@@ -123,7 +123,7 @@
     // An absolute URI in the request line takes precedence over the Host header (RFC 9112,
     // section 3.2.2).
     let name = head.uri.host().unwrap_or(header);
-    let route = routes.route_of(without_port(name), head.uri.path());
+    let route = routes.find_route(without_port(name), head.uri.path());
     route.map(rc::Rc::clone)
 }
 
@@ -138,7 +138,7 @@
         return Ok(None);
     };
     let failure = match key {
-        CallerKey::Given(key) => match customers.holder_of(key) {
+        CallerKey::Given(key) => match customers.find_by_key(key) {
             Some(customer) => return Ok(Some(rc::Rc::clone(customer))),
             None if routes.configuration().has_unread_customers => {
                 RequestFailure::undecided_key(key)
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -195,7 +195,7 @@
         route("long", "a.example", "/x/y/"),
         route("other", "b.example", "/x/y/z/"),
     ]);
-    let found = |host, path| table.route_of(host, path).map(|route| route.name.clone());
+    let found = |host, path| table.find_route(host, path).map(|route| route.name.clone());
     assert_eq!(found("a.example", "/x/y/z/1").as_deref(), Some("long"));
     assert_eq!(found("a.example", "/x/yy").as_deref(), Some("short"));
     assert_eq!(found("a.example", "/y/"), None);
