--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use super::configuration_draft::RoutePlace;
+use super::configuration_builder::RouteMatch;
 use super::customer::{CustomerRule, CustomerTable};
 use super::peer_message::{self, PeerFormatError};
 
@@ -249,7 +249,7 @@
 impl RouteRule {
     /// Creates a route without services, whose requests are all refused.
     #[must_use]
-    pub fn without_service(place: RoutePlace) -> Self {
+    pub fn without_service(place: RouteMatch) -> Self {
         Self {
             name: place.name,
             host: place.host,
--- a/src/entry/configuration_draft.rs
+++ b/src/entry/configuration_builder.rs
@@ -12,7 +12,7 @@
 
 /// The requests that an unreadable route applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RoutePlace {
+pub struct RouteMatch {
     /// The route's name.
     pub name: String,
     /// The host name in the requests of callers.
@@ -23,7 +23,7 @@
 
 /// The parts that were read so far and the faults of unreadable ones.
 #[derive(Debug, Default)]
-pub struct ConfigurationDraft {
+pub struct ConfigurationBuilder {
     routes: Vec<rc::Rc<RouteRule>>,
     services: Vec<ServiceRule>,
     customers: Option<Vec<rc::Rc<CustomerRule>>>,
@@ -31,10 +31,15 @@
     faults: Vec<ConfigurationFault>,
 }
 
-impl ConfigurationDraft {
+impl ConfigurationBuilder {
     /// Returns the kind of a route's requests. `name` is the configured type and `known` its meaning, if
     /// the type is known. For an unknown type the requests run at most once, which is safe for any type.
-    pub fn kind_of(&mut self, route: &str, name: &str, known: Option<RequestKind>) -> RequestKind {
+    pub fn request_kind(
+        &mut self,
+        route: &str,
+        name: &str,
+        known: Option<RequestKind>,
+    ) -> RequestKind {
         known.unwrap_or_else(|| {
             self.faults.push(ConfigurationFault::UnknownKind {
                 route: route.to_owned(),
@@ -51,7 +56,7 @@
 
     /// Records an unreadable route. If `place` is known, a route without services takes its place, so
     /// that its requests are refused as not run instead of as unknown.
-    pub fn add_unread_route(&mut self, place: Option<RoutePlace>, reason: String) {
+    pub fn add_unreadable_route(&mut self, place: Option<RouteMatch>, reason: String) {
         let name = place.as_ref().map(|place| place.name.clone());
         self.faults.push(ConfigurationFault::UnreadableRoute {
             route: name.unwrap_or_default(),
@@ -68,13 +73,13 @@
     }
 
     /// Records an unreadable service.
-    pub fn add_unread_service(&mut self, reason: String) {
+    pub fn add_unreadable_service(&mut self, reason: String) {
         self.faults
             .push(ConfigurationFault::UnreadableService { reason });
     }
 
     /// Makes requests require the key of a customer.
-    pub fn need_customers(&mut self) {
+    pub fn require_customers(&mut self) {
         self.customers.get_or_insert_default();
     }
 
@@ -86,8 +91,8 @@
 
     /// Records an unreadable customer at this position in the list. The fault contains no reason, since
     /// the reason may quote a key.
-    pub fn add_unread_customer(&mut self, place: usize) {
-        self.need_customers();
+    pub fn add_unreadable_customer(&mut self, place: usize) {
+        self.require_customers();
         self.has_unread_customers = true;
         self.faults
             .push(ConfigurationFault::UnreadableCustomer { place });
@@ -97,11 +102,11 @@
     ///
     /// ```
     /// use ledgespool::entry::configuration::{CallerLimits, RequestKind};
-    /// use ledgespool::entry::configuration_draft::ConfigurationDraft;
-    /// let mut draft = ConfigurationDraft::default();
-    /// assert_eq!(draft.kind_of("scan", "resumable", None), RequestKind::Once);
+    /// use ledgespool::entry::configuration_builder::ConfigurationBuilder;
+    /// let mut builder = ConfigurationBuilder::default();
+    /// assert_eq!(builder.request_kind("scan", "resumable", None), RequestKind::Once);
     /// let limits = CallerLimits { header_bytes: 1, body_bytes: 1, header_ms: 1, idle_ms: 1 };
-    /// let configuration = draft.into_configuration(7, limits);
+    /// let configuration = builder.into_configuration(7, limits);
     /// assert_eq!((configuration.version, configuration.faults.len()), (7, 1));
     /// ```
     #[must_use]
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -24,7 +24,7 @@
 pub mod choice;
 mod choice_refusal;
 pub mod configuration;
-pub mod configuration_draft;
+pub mod configuration_builder;
 pub mod customer;
 pub mod decision_log;
 mod ended_servers;
