--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -14,11 +14,11 @@
 
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
+use super::server_header::{BackoffHeader, LeavingHeader};
 use super::server_limit::rate::NamedLimit;
 use super::server_limit::table::LimitSpell;
 use super::server_limit_role::NamedInAnswer;
 use super::server_notice::ServerNotice;
-use super::server_word::{BackoffHeader, LeavingHeader};
 use super::wire::{ServerHead, WireProtocol};
 use crate::event::EventCode;
 
--- a/src/entry/server_word.rs
+++ b/src/entry/server_header.rs
@@ -20,7 +20,7 @@
     /// Combines all values of the header in one answer; a single `1` is enough for leaving.
     ///
     /// ```
-    /// use ledgespool::entry::server_word::LeavingHeader;
+    /// use ledgespool::entry::server_header::LeavingHeader;
     /// let header = |values: &[&str]| LeavingHeader::from_texts(values.iter().copied());
     /// assert_eq!(header(&["1"]), LeavingHeader::Leaving);
     /// assert_eq!(header(&["0", "1"]), LeavingHeader::Leaving);
@@ -58,7 +58,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ledgespool::entry::server_word::BackoffHeader;
+    /// use ledgespool::entry::server_header::BackoffHeader;
     /// let header = |values: &[&str]| BackoffHeader::from_texts(values.iter().copied());
     /// assert_eq!(header(&["2.5"]), BackoffHeader::For(Duration::from_millis(2_500)));
     /// assert_eq!(header(&["1", "3"]), BackoffHeader::For(Duration::from_secs(3)));
--- a/src/entry/wire.rs
+++ b/src/entry/wire.rs
@@ -5,8 +5,8 @@
 
 use super::customer::KeyDigest;
 use super::server::ServerLoad;
+use super::server_header::{BackoffHeader, LeavingHeader};
 use super::server_limit::rate::NamedLimit;
-use super::server_word::{BackoffHeader, LeavingHeader};
 
 /// What the headers of a caller's request state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
