--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -112,7 +112,7 @@
                 // carries it. Other hosts get verified claims only.
                 self.on_server_leaving(server, "answer");
                 if claims.trust == AnswerTrust::Verified && !server.is_draining() {
-                    self.leaving_news.push(server.start_hash);
+                    self.leaving_updates.push(server.start_hash);
                 }
             }
         }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -21,7 +21,7 @@
 use super::fleet_server::FleetServer;
 use super::gossip::PeerSocket;
 use super::join::{self, JoinState};
-use super::leaving_news::LeavingUpdates;
+use super::leaving_updates::LeavingUpdates;
 use super::limit_role::LimitRole;
 use super::metrics_page::{CurrentFigures, EntryMetrics};
 use super::peer_message::PeerFormatError;
@@ -89,7 +89,7 @@
     pub(super) limits: LimitRole,
     pub(super) quarantine: QuarantineRole,
     pub(super) server_limits: ServerLimitRole,
-    pub(super) leaving_news: LeavingUpdates,
+    pub(super) leaving_updates: LeavingUpdates,
     pub(super) rollouts: RolloutRole,
     /// The store's era, as this host or another has seen it.
     pub(super) store_era: cell::Cell<u64>,
@@ -136,7 +136,7 @@
             limits,
             quarantine: QuarantineRole::default(),
             server_limits: ServerLimitRole::default(),
-            leaving_news: LeavingUpdates::default(),
+            leaving_updates: LeavingUpdates::default(),
             rollouts: RolloutRole::default(),
             store_era: cell::Cell::new(0),
         }
--- a/src/entry/leaving_news.rs
+++ b/src/entry/leaving_updates.rs
@@ -74,7 +74,7 @@
                 continue;
             };
             self.on_server_leaving(&server, source);
-            self.leaving_news.push(*start_hash);
+            self.leaving_updates.push(*start_hash);
         }
     }
 
@@ -85,9 +85,9 @@
             let server = fleet.of_start(server);
             server.is_some_and(|server| !server.is_draining())
         };
-        self.leaving_news.retain(is_unknown_to_store);
+        self.leaving_updates.retain(is_unknown_to_store);
         drop(fleet);
-        let unsent = self.leaving_news.take_unsent();
+        let unsent = self.leaving_updates.take_unsent();
         if unsent.is_empty() {
             return;
         }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -49,7 +49,7 @@
 mod join_asking;
 pub mod join_role;
 pub mod lapse_hold;
-pub mod leaving_news;
+pub mod leaving_updates;
 pub mod lifecycle;
 mod limit_role;
 pub mod limits;
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -52,7 +52,7 @@
             evacuated: evacuations.stored().iter().cloned().collect(),
             quarantine: self.quarantine.digest(),
             server_limits: self.server_limits.words_in_turn(),
-            leaving_servers: self.leaving_news.next_for_heartbeat(),
+            leaving_servers: self.leaving_updates.next_for_heartbeat(),
             rollouts: self.rollouts.news(self.now()),
             known_hosts,
             known_near,
