--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt as _, Full};
 use hyper::body::Incoming;
 
-use super::answer_end::outcome_from_head;
+use super::answer_outcome::outcome_from_head;
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::pool::{self, ServerSender};
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,7 +18,7 @@
 
 pub mod answer;
 mod answer_claims;
-mod answer_end;
+mod answer_outcome;
 pub mod budget;
 pub mod catch_up;
 pub mod choice;
