--- a/src/entry/answer_outcome.rs
+++ b/src/entry/answer_outcome.rs
@@ -1,7 +1,7 @@
 //! Classifies a server's answer by its head: accepted, rejected, or a refusal to run the request.
 
 use super::answer_claims::{AnswerClaims, AnswerTrust};
-use super::exchange::{ForwardRequest, LossCause, OfferEnd};
+use super::exchange::{AttemptOutcome, ForwardRequest, LossCause};
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::server::ServerLoad;
@@ -16,7 +16,7 @@
     request: &ForwardRequest,
     head: &http::response::Parts,
     sent_in: Option<LimitSpell>,
-) -> Option<OfferEnd> {
+) -> Option<AttemptOutcome> {
     let answer = host.wire.read_answer(&head.headers);
     let outcome = classify(server, request, head, &answer);
     let claims = AnswerClaims {
@@ -26,7 +26,7 @@
         sent_in,
     };
     host.on_answer_claims(server, &claims);
-    if matches!(outcome, Some(OfferEnd::Lost(_))) {
+    if matches!(outcome, Some(AttemptOutcome::Lost(_))) {
         host.metrics.borrow_mut().answers_dropped += 1;
     }
     outcome
@@ -37,37 +37,37 @@
     request: &ForwardRequest,
     head: &http::response::Parts,
     answer: &ServerHead<'_>,
-) -> Option<OfferEnd> {
+) -> Option<AttemptOutcome> {
     if answer.request_id.is_some() && answer.request_id != request.id.as_deref() {
-        return Some(OfferEnd::Lost(LossCause::WrongRequest));
+        return Some(AttemptOutcome::Lost(LossCause::WrongRequest));
     }
     let misdirected = head.status == http::StatusCode::MISDIRECTED_REQUEST;
     if misdirected && answer.server_id.is_some_and(|id| *id != *server.id) {
-        return Some(OfferEnd::OtherServer);
+        return Some(AttemptOutcome::OtherServer);
     }
     // A 421 means that the request has not run, whichever server sent it.
     if answer.not_run || misdirected {
-        return Some(OfferEnd::NotRun {
+        return Some(AttemptOutcome::NotRun {
             status: head.status,
             had_free_slot: answer.load.is_some_and(ServerLoad::has_free_slot),
         });
     }
-    loss_cause(head, answer).map(OfferEnd::Lost)
+    loss_cause(head, answer).map(AttemptOutcome::Lost)
 }
 
 /// How much an answer with this outcome is trusted to come from the server.
 fn trust_of(
     head: &http::response::Parts,
     answer: &ServerHead<'_>,
-    outcome: Option<&OfferEnd>,
+    outcome: Option<&AttemptOutcome>,
 ) -> AnswerTrust {
     // Another process on the server's address may have sent this answer.
     if head.status == http::StatusCode::MISDIRECTED_REQUEST {
         return AnswerTrust::Foreign;
     }
     match outcome {
-        Some(OfferEnd::Lost(LossCause::WrongRequest)) => AnswerTrust::Foreign,
-        Some(OfferEnd::Lost(_)) => AnswerTrust::Distrusted,
+        Some(AttemptOutcome::Lost(LossCause::WrongRequest)) => AnswerTrust::Foreign,
+        Some(AttemptOutcome::Lost(_)) => AnswerTrust::Distrusted,
         _ if answer.signed || answer.not_run => AnswerTrust::Verified,
         _ => AnswerTrust::Unsigned,
     }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -49,7 +49,7 @@
 
 /// How an attempt to send a request to a server ended.
 #[derive(Debug)]
-pub enum OfferEnd {
+pub enum AttemptOutcome {
     /// The server answered.
     Answered(Box<ServerAnswer>),
     /// The server could not be reached; the request has not run.
@@ -134,7 +134,7 @@
 
 /// The conditions of one attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct OfferTerms {
+pub struct AttemptTerms {
     /// When the request must have been answered.
     pub deadline: Moment,
     /// The token that allows sending it to a server with a limit.
@@ -143,12 +143,12 @@
 
 /// Sends a request to a server and waits for the answer until the deadline. Dropping the future
 /// closes the connection, which cancels the server's work.
-pub async fn offer<W: WireProtocol>(
+pub async fn attempt<W: WireProtocol>(
     host: &EntryHost<W>,
     server: &rc::Rc<FleetServer>,
     request: &ForwardRequest,
-    terms: OfferTerms,
-) -> OfferEnd {
+    terms: AttemptTerms,
+) -> AttemptOutcome {
     let _slot = SlotGuard::at(server);
     let must_be_fresh = !request.is_retryable;
     let idle = host
@@ -158,13 +158,13 @@
     if let Some(sender) = idle {
         match send_in_time(host, server, sender, request, terms).await {
             // The server closed the idle connection; nothing was written.
-            OfferEnd::NotSent => {}
-            end => return end,
+            AttemptOutcome::NotSent => {}
+            outcome => return outcome,
         }
     }
     match connect(host, server, terms.deadline).await {
         Ok(sender) => send_in_time(host, server, sender, request, terms).await,
-        Err(end) => end,
+        Err(outcome) => outcome,
     }
 }
 
@@ -173,7 +173,7 @@
     host: &EntryHost<W>,
     server: &FleetServer,
     deadline: Moment,
-) -> Result<ServerSender, OfferEnd> {
+) -> Result<ServerSender, AttemptOutcome> {
     let began = host.now();
     let left = time::Duration::from_millis(deadline.since(began));
     let limit = host.distances.borrow().connect_limit(&server.region);
@@ -181,9 +181,9 @@
     let Ok(sender) = pool::connect(server, limit.min(left)).await else {
         host.metrics.borrow_mut().connect_failures += 1;
         return Err(if left < limit {
-            OfferEnd::OutOfTime
+            AttemptOutcome::OutOfTime
         } else {
-            OfferEnd::NotSent
+            AttemptOutcome::NotSent
         });
     };
     let took = time::Duration::from_millis(host.now().since(began));
@@ -197,12 +197,12 @@
     server: &FleetServer,
     sender: ServerSender,
     request: &ForwardRequest,
-    terms: OfferTerms,
-) -> OfferEnd {
+    terms: AttemptTerms,
+) -> AttemptOutcome {
     let left = time::Duration::from_millis(terms.deadline.since(host.now()));
     let sending = send(host, server, sender, request, terms);
-    let end = tokio::time::timeout(left, sending).await;
-    end.unwrap_or(OfferEnd::TimedOut)
+    let outcome = tokio::time::timeout(left, sending).await;
+    outcome.unwrap_or(AttemptOutcome::TimedOut)
 }
 
 async fn send<W: WireProtocol>(
@@ -210,12 +210,12 @@
     server: &FleetServer,
     mut sender: ServerSender,
     request: &ForwardRequest,
-    terms: OfferTerms,
-) -> OfferEnd {
+    terms: AttemptTerms,
+) -> AttemptOutcome {
     let id = request.id.as_deref();
     let permit = match SendPermit::obtain(host, server, terms.right, id) {
         Ok(permit) => permit,
-        Err(cause) => return OfferEnd::Withheld(cause),
+        Err(cause) => return AttemptOutcome::Withheld(cause),
     };
     let time_left = time::Duration::from_millis(terms.deadline.since(host.now()));
     let message = build_message(host, server, request, time_left);
@@ -224,19 +224,19 @@
         Ok(answer) => answer.into_parts(),
         Err(mut fault) => {
             return if fault.take_message().is_some() {
-                OfferEnd::NotSent
+                AttemptOutcome::NotSent
             } else {
-                OfferEnd::Lost(LossCause::Broken)
+                AttemptOutcome::Lost(LossCause::Broken)
             };
         }
     };
-    let Some(end) = outcome_from_head(host, server, request, &head, sent_in) else {
+    let Some(outcome) = outcome_from_head(host, server, request, &head, sent_in) else {
         return read_body(host, server, sender, head, body).await;
     };
-    if matches!(end, OfferEnd::NotRun { .. }) {
+    if matches!(outcome, AttemptOutcome::NotRun { .. }) {
         discard_body(host, server, sender, &head, body).await;
     }
-    end
+    outcome
 }
 
 fn build_message<W: WireProtocol>(
@@ -261,7 +261,7 @@
     sender: ServerSender,
     head: http::response::Parts,
     mut body: Incoming,
-) -> OfferEnd {
+) -> AttemptOutcome {
     let mut buffered = BytesMut::new();
     while buffered.len() <= MAX_BUFFERED_ANSWER_BYTES {
         match body.frame().await {
@@ -271,7 +271,7 @@
                 }
             }
             Some(Err(_fault)) => {
-                return OfferEnd::Lost(LossCause::Truncated);
+                return AttemptOutcome::Lost(LossCause::Truncated);
             }
             None => {
                 return_to_pool(host, server, sender, &head);
@@ -280,7 +280,7 @@
                     buffered: buffered.freeze(),
                     remaining: None,
                 };
-                return OfferEnd::Answered(Box::new(answer));
+                return AttemptOutcome::Answered(Box::new(answer));
             }
         }
     }
@@ -289,7 +289,7 @@
         buffered: buffered.freeze(),
         remaining: Some((body, sender)),
     };
-    OfferEnd::Answered(Box::new(answer))
+    AttemptOutcome::Answered(Box::new(answer))
 }
 
 /// Reads and discards the small body of a refusal, so that the connection can be reused.
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -247,7 +247,7 @@
             Ok(PeerMessage::ServerLimit(message)) => {
                 server_limit_role::on_message(&host, message, source);
             }
-            Ok(PeerMessage::Leaving(servers)) => host.on_leaving_told(&servers, "peer"),
+            Ok(PeerMessage::Leaving(servers)) => host.on_leaving_report(&servers, "peer"),
             Ok(PeerMessage::RolloutReport(report)) => {
                 host.rollouts.on_host_report(report, host.now());
             }
@@ -294,7 +294,7 @@
         host.on_evacuation_list(halls, heartbeat.evacuation_changed);
     }
     host.on_limit_words(&heartbeat.server_limits, Some(source));
-    host.on_leaving_told(&heartbeat.leaving_servers, &heartbeat.host);
+    host.on_leaving_report(&heartbeat.leaving_servers, &heartbeat.host);
     host.on_rollout_news(&heartbeat.rollouts);
     if heartbeat.ready && !heartbeat.leaving {
         join_asking::on_ready_heard(host, heartbeat);
--- a/src/entry/leaving_updates.rs
+++ b/src/entry/leaving_updates.rs
@@ -67,7 +67,7 @@
 
 impl<W: WireProtocol> EntryHost<W> {
     /// Handles a report of another host about leaving servers.
-    pub(super) fn on_leaving_told(&self, servers: &[u64], source: &str) {
+    pub(super) fn on_leaving_report(&self, servers: &[u64], source: &str) {
         for start_hash in servers {
             let server = self.fleet.borrow().of_start(*start_hash);
             let Some(server) = server.filter(|server| !server.is_draining()) else {
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::OfferSeries;
-use crate::entry::exchange::{LossCause, OfferEnd};
+use crate::entry::exchange::{AttemptOutcome, LossCause};
 use crate::entry::fleet_server::FleetServer;
 use crate::entry::quarantine_role;
 use crate::entry::request_failure::RequestFailure;
@@ -25,7 +25,7 @@
     pub(super) fn count_for_rollout(
         &self,
         server: &FleetServer,
-        end: &OfferEnd,
+        end: &AttemptOutcome,
         began: Moment,
         known_object: bool,
     ) {
@@ -41,13 +41,13 @@
             && took_ms > self.open.route.goal_ms
             && took_ms as f64 > expected_ms * rollout_role::SLOW_FACTOR;
         let is_bad = match end {
-            OfferEnd::Answered(answer) => answer.head.status.is_server_error() || is_slow,
-            OfferEnd::TimedOut | OfferEnd::Lost(_) => true,
-            OfferEnd::NotSent
-            | OfferEnd::Withheld(_)
-            | OfferEnd::OutOfTime
-            | OfferEnd::NotRun { .. }
-            | OfferEnd::OtherServer => return,
+            AttemptOutcome::Answered(answer) => answer.head.status.is_server_error() || is_slow,
+            AttemptOutcome::TimedOut | AttemptOutcome::Lost(_) => true,
+            AttemptOutcome::NotSent
+            | AttemptOutcome::Withheld(_)
+            | AttemptOutcome::OutOfTime
+            | AttemptOutcome::NotRun { .. }
+            | AttemptOutcome::OtherServer => return,
         };
         let answer = RolloutAnswer {
             route: &self.open.route.name,
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -6,7 +6,7 @@
 use std::rc;
 
 use super::choice::{self, ChoiceQuery, ChosenServer, NoServer, ServerChoice};
-use super::exchange::{self, OfferEnd, OfferTerms, ServerAnswer};
+use super::exchange::{self, AttemptOutcome, AttemptTerms, ServerAnswer};
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::offer_record::OfferRecord;
@@ -231,14 +231,14 @@
         let object = self.open.object;
         let known_object = object.is_none_or(|object| server.remember_object(object));
         let began = self.host.now();
-        let terms = OfferTerms {
+        let terms = AttemptTerms {
             deadline: self.open.deadline,
             right,
         };
-        let end = exchange::offer(self.host, &server, &self.open.forward, terms).await;
+        let end = exchange::attempt(self.host, &server, &self.open.forward, terms).await;
         self.count_for_rollout(&server, &end, began, known_object);
         match end {
-            OfferEnd::Answered(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 self.on_answer(&server, began, known_object);
                 self.host.on_success(self.open, &answer);
                 let offer = OfferRecord {
@@ -252,16 +252,16 @@
                     offer,
                 }));
             }
-            OfferEnd::TimedOut => return Err(self.on_timeout(&server, began, known_object)),
-            OfferEnd::NotSent => self.on_not_sent(&server),
-            OfferEnd::Withheld(cause) => self.note_offer(&server, cause.as_str()),
-            OfferEnd::OutOfTime => self.note_offer(&server, "out of time before it was sent"),
-            OfferEnd::NotRun {
+            AttemptOutcome::TimedOut => return Err(self.on_timeout(&server, began, known_object)),
+            AttemptOutcome::NotSent => self.on_not_sent(&server),
+            AttemptOutcome::Withheld(cause) => self.note_offer(&server, cause.as_str()),
+            AttemptOutcome::OutOfTime => self.note_offer(&server, "out of time before it was sent"),
+            AttemptOutcome::NotRun {
                 status,
                 had_free_slot,
             } => self.on_not_run(&server, status, had_free_slot),
-            OfferEnd::OtherServer => self.on_other_server(&server),
-            OfferEnd::Lost(cause) => self.on_lost(&server, cause)?,
+            AttemptOutcome::OtherServer => self.on_other_server(&server),
+            AttemptOutcome::Lost(cause) => self.on_lost(&server, cause)?,
         }
         Ok(None)
     }
