--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -108,8 +108,8 @@
             LeavingHeader::Absent => {}
             LeavingHeader::Unreadable => self.on_unreadable_header(server, "leaving"),
             LeavingHeader::Leaving => {
-                // An unverified claim applies to this host only, which also forwards the answer that
-                // carries it. Other hosts get verified claims only.
+                // An unverified claim applies to this host only, which also forwards the answer
+                // that carries it. Other hosts get verified claims only.
                 self.on_server_leaving(server, "answer");
                 if claims.trust == AnswerTrust::Verified && !server.is_draining() {
                     self.leaving_updates.push(server.start_hash);
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration: routes, services, limits and customers, and the lookup of a request's
-//! route.
+//! The operator's configuration: routes, services, limits and customers, and the lookup of a
+//! request's route.
 
 use std::{cell, rc};
 
@@ -54,8 +54,8 @@
         /// What is wrong.
         reason: String,
     },
-    /// A customer is unreadable. Requests with an unknown key are refused as not run, since the key may
-    /// belong to this customer.
+    /// A customer is unreadable. Requests with an unknown key are refused as not run, since the key
+    /// may belong to this customer.
     #[error("customer number {place} cannot be read")]
     UnreadableCustomer {
         /// The position in the list, from 0.
@@ -183,7 +183,8 @@
 }
 
 impl RouteTable {
-    /// Sorts the routes by host and descending prefix length, so that the first match is the longest.
+    /// Sorts the routes by host and descending prefix length, so that the first match is the
+    /// longest.
     #[must_use]
     pub fn from_configuration(configuration: ServiceConfiguration) -> Self {
         let mut routes = configuration.routes.clone();
@@ -201,8 +202,8 @@
         }
     }
 
-    /// The configuration encoded for other hosts. It is cached, because many hosts request it from a
-    /// watcher at the same time.
+    /// The configuration encoded for other hosts. It is cached, because many hosts request it from
+    /// a watcher at the same time.
     ///
     /// # Errors
     /// `Malformed` when it cannot be encoded.
@@ -267,8 +268,8 @@
         }
     }
 
-    /// Selects a service by weight: the one whose cumulative share contains `point`, a number from 0 to
-    /// 1. Returns `None` if the route has no services.
+    /// Selects a service by weight: the one whose cumulative share contains `point`, a number from
+    /// 0 to 1. Returns `None` if the route has no services.
     #[must_use]
     pub fn service_at(&self, point: f64) -> Option<&str> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
--- a/src/entry/configuration_builder.rs
+++ b/src/entry/configuration_builder.rs
@@ -32,8 +32,9 @@
 }
 
 impl ConfigurationBuilder {
-    /// Returns the kind of a route's requests. `name` is the configured type and `known` its meaning, if
-    /// the type is known. For an unknown type the requests run at most once, which is safe for any type.
+    /// Returns the kind of a route's requests. `name` is the configured type and `known` its
+    /// meaning, if the type is known. For an unknown type the requests run at most once, which is
+    /// safe for any type.
     pub fn request_kind(
         &mut self,
         route: &str,
@@ -54,8 +55,8 @@
         self.routes.push(rc::Rc::new(route));
     }
 
-    /// Records an unreadable route. If `place` is known, a route without services takes its place, so
-    /// that its requests are refused as not run instead of as unknown.
+    /// Records an unreadable route. If `place` is known, a route without services takes its place,
+    /// so that its requests are refused as not run instead of as unknown.
     pub fn add_unreadable_route(&mut self, place: Option<RouteMatch>, reason: String) {
         let name = place.as_ref().map(|place| place.name.clone());
         self.faults.push(ConfigurationFault::UnreadableRoute {
@@ -89,8 +90,8 @@
         customers.push(rc::Rc::new(customer));
     }
 
-    /// Records an unreadable customer at this position in the list. The fault contains no reason, since
-    /// the reason may quote a key.
+    /// Records an unreadable customer at this position in the list. The fault contains no reason,
+    /// since the reason may quote a key.
     pub fn add_unreadable_customer(&mut self, place: usize) {
         self.require_customers();
         self.has_unread_customers = true;
--- a/src/entry/customer.rs
+++ b/src/entry/customer.rs
@@ -1,7 +1,7 @@
 //! The customers of a configuration, with their keys, limits and allowed regions.
 //!
-//! Keys are secrets and are not stored. When a configuration is read, each key becomes a [`KeyDigest`];
-//! only digests are stored, compared and sent to other hosts.
+//! Keys are secrets and are not stored. When a configuration is read, each key becomes a
+//! [`KeyDigest`]; only digests are stored, compared and sent to other hosts.
 
 use std::{fmt, rc};
 
@@ -9,11 +9,11 @@
 
 use super::hash;
 
-/// Length of a stored digest, in bytes. With 128 bits, two keys share a digest by chance once in 10^19
-/// pairs, and a key that cannot be guessed cannot be recovered from it.
+/// Length of a stored digest, in bytes. With 128 bits, two keys share a digest by chance once in
+/// 10^19 pairs, and a key that cannot be guessed cannot be recovered from it.
 const DIGEST_BYTES: usize = 16;
-/// Length of a printed fingerprint, in bytes: enough to distinguish the keys of a deployment, too short
-/// to verify a guessed key.
+/// Length of a printed fingerprint, in bytes: enough to distinguish the keys of a deployment, too
+/// short to verify a guessed key.
 const FINGERPRINT_BYTES: usize = 3;
 
 /// The digest of a customer's key.
@@ -122,7 +122,8 @@
     InvalidName(String),
 }
 
-/// The customers of a configuration, indexed by key and by name.
+/// The customers of a configuration, indexed by key and by name, so that a lookup takes constant
+/// time.
 #[derive(Debug, Default)]
 pub struct CustomerTable {
     by_key: rustc_hash::FxHashMap<KeyDigest, rc::Rc<CustomerRule>>,
--- a/src/entry/decision_log.rs
+++ b/src/entry/decision_log.rs
@@ -1,8 +1,8 @@
 //! Writes events to standard output as JSON lines, with a rate limit per second.
 //!
-//! The serving thread only appends to a batch in memory and a writer thread writes whole batches, so a
-//! standard output that nobody reads never delays a request. Batches that exceed the writer's queue are
-//! dropped and counted.
+//! The serving thread only appends to a batch in memory and a writer thread writes whole batches,
+//! so a standard output that nobody reads never delays a request. Batches that exceed the writer's
+//! queue are dropped and counted.
 
 use std::io::Write as _;
 use std::sync::mpsc;
@@ -20,8 +20,8 @@
 /// Maximum number of ordinary lines per second; more are counted and left out. The usual load of a
 /// small host, 80 requests per second, stays below it.
 const MAX_ORDINARY_PER_S: u32 = 100;
-/// Maximum number of important lines per second. Their limit is separate, so that lines about served
-/// requests never displace them.
+/// Maximum number of important lines per second. Their limit is separate, so that lines about
+/// served requests never displace them.
 const MAX_IMPORTANT_PER_S: u32 = 200;
 /// Stack size of the writer thread, in bytes; its call depth is small.
 const STACK_BYTES: usize = 64 * 1024;
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -308,7 +308,8 @@
     }
 }
 
-/// Returns a connection to the pool after its answer was read completely, unless the server closes it.
+/// Returns a connection to the pool after its answer was read completely, unless the server closes
+/// it.
 pub fn return_to_pool<W: WireProtocol>(
     host: &EntryHost<W>,
     server: &FleetServer,
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -26,7 +26,7 @@
 use super::metrics_page::{CurrentFigures, EntryMetrics};
 use super::peer_message::PeerFormatError;
 use super::peers::PeerTable;
-use super::pool::ConnectionPool;
+use super::pool::ServerPool;
 use super::quarantine_role::QuarantineRole;
 use super::region_distance::RegionDistances;
 use super::region_shares::WeightCache;
@@ -56,7 +56,7 @@
     /// Known servers.
     pub fleet: cell::RefCell<Fleet>,
     /// Kept connections to servers.
-    pub pool: cell::RefCell<ConnectionPool>,
+    pub pool: cell::RefCell<ServerPool>,
     /// How far the regions are.
     pub distances: cell::RefCell<RegionDistances>,
     /// Other hosts.
--- a/src/entry/leaving_updates.rs
+++ b/src/entry/leaving_updates.rs
@@ -1,9 +1,10 @@
 //! Spreads among hosts which backend servers have announced that they are leaving.
 //!
-//! **Load pattern.** Servers are replaced while the store is unreachable or rejects some hosts. A server
-//! announces in its answers that it is leaving. A host that sends it few requests would learn that late
-//! and lose the requests that the server does not finish before it exits. The announcement is never
-//! withdrawn, so it needs no versions: a host that learns of it forwards it once.
+//! **Load pattern.** Servers are replaced while the store is unreachable or rejects some hosts. A
+//! server announces in its answers that it is leaving. A host that sends it few requests would
+//! learn that late and lose the requests that the server does not finish before it exits. The
+//! announcement is never withdrawn, so it needs no versions: a host that learns of it forwards it
+//! once.
 
 use std::cell;
 
@@ -12,8 +13,8 @@
 use super::peer_message::PeerMessage;
 use super::wire::WireProtocol;
 
-/// Maximum number of servers in one heartbeat, 8 bytes each. Heartbeats repeat all servers round robin,
-/// for hosts that missed the update.
+/// Maximum number of servers in one heartbeat, 8 bytes each. Heartbeats repeat all servers round
+/// robin, for hosts that missed the update.
 const MAX_SERVERS_PER_HEARTBEAT: usize = 8;
 /// Maximum number of servers in one update datagram: about 1,000 bytes.
 const MAX_SERVERS_PER_DATAGRAM: usize = 128;
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -1,5 +1,5 @@
-//! The listening sockets of a host: caller requests, lookups, readiness checks, and requests of other
-//! hosts including metrics.
+//! The listening sockets of a host: caller requests, lookups, readiness checks, and requests of
+//! other hosts including metrics.
 
 use std::{convert, net, rc, time};
 
@@ -25,11 +25,11 @@
 
 /// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
-/// Time in which a request's head must arrive, counted from the end of the previous request. Applies
-/// where no configuration sets an idle time for callers.
+/// Time in which a request's head must arrive, counted from the end of the previous request.
+/// Applies where no configuration sets an idle time for callers.
 const DEFAULT_HEAD_TIMEOUT: time::Duration = time::Duration::from_mins(5);
-/// With a configuration, the head timeout is the configured time multiplied by this. A longer time may
-/// be configured while a connection is open.
+/// With a configuration, the head timeout is the configured time multiplied by this. A longer time
+/// may be configured while a connection is open.
 const HEAD_TIMEOUT_FACTOR: u32 = 2;
 /// Largest head of a request, in bytes: several times what usual configurations allow.
 const MAX_HEAD_BYTES: usize = 128 * 1024;
@@ -38,14 +38,15 @@
 /// Maximum number of hosts in a lookup response, set by the platform's protocol.
 const MAX_LOOKUP_HOSTS: usize = 64;
 /// Time to live of a lookup response. A caller that must repeat its lookup waits for one more round
-/// trip, up to a quarter of a short goal; with 2 s this affected one request in four. A longer time is
-/// safe because a stopping host announces it on each connection and callers skip a host that failed.
+/// trip, up to a quarter of a short goal; with 2 s this affected one request in four. A longer time
+/// is safe because a stopping host announces it on each connection and callers skip a host that
+/// failed.
 const LOOKUP_TIME_TO_LIVE: time::Duration = time::Duration::from_secs(5);
 
-/// Time to live of a lookup response that lists hosts of another region because none of the caller's
-/// region is known to be alive. Those hosts send requests to servers that do not have the caller's
-/// objects cached: five seconds after a restart of all hosts, 12 % of requests were late with the full
-/// time to live, and 4 % with this one and other changes to the start of a host.
+/// Time to live of a lookup response that lists hosts of another region because none of the
+/// caller's region is known to be alive. Those hosts send requests to servers that do not have the
+/// caller's objects cached: five seconds after a restart of all hosts, 12 % of requests were late
+/// with the full time to live, and 4 % with this one and other changes to the start of a host.
 const FALLBACK_TIME_TO_LIVE: time::Duration = time::Duration::from_secs(1);
 
 /// The bound listening sockets of a host.
--- a/src/entry/open_request.rs
+++ b/src/entry/open_request.rs
@@ -39,7 +39,7 @@
     pub(super) arrived: Moment,
     /// When the request must have been answered.
     pub(super) deadline: Moment,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits, if it states that.
     pub(super) caller_timeout: Option<time::Duration>,
 }
 
@@ -146,7 +146,7 @@
             None => RequestFailure::unknown_key(key),
         },
         CallerKey::Missing => RequestFailure::MISSING_KEY,
-        CallerKey::Several => RequestFailure::MULTIPLE_KEYS,
+        CallerKey::Multiple => RequestFailure::MULTIPLE_KEYS,
     };
     if route.public { Ok(None) } else { Err(failure) }
 }
--- a/src/entry/past_notices.rs
+++ b/src/entry/past_notices.rs
@@ -1,5 +1,5 @@
-//! Retains the notices of servers whose store entries are gone. If the same incarnation returns, its
-//! notice applies again.
+//! Retains the notices of servers whose store entries are gone. If the same incarnation returns,
+//! its notice applies again.
 
 use super::server_notice::ServerNotice;
 use crate::timer::Moment;
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -11,7 +11,8 @@
 use crate::silence_probe;
 use crate::timer::Moment;
 
-/// An idle connection is dropped this long before the server's keep-alive time ends, in milliseconds.
+/// An idle connection is dropped this long before the server's keep-alive time ends, in
+/// milliseconds.
 const KEEP_ALIVE_MARGIN_MS: u64 = 1_000;
 /// Keep-alive time assumed for a server that sends none, in milliseconds.
 const DEFAULT_KEEP_ALIVE_MS: u64 = 4_000;
@@ -20,7 +21,7 @@
 const MAX_FRESH_IDLE_MS: u64 = 2_000;
 /// Largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Idle connections per server.
+/// Maximum number of idle connections per server.
 const MAX_IDLE_PER_SERVER: usize = 8;
 
 /// The sending half of a connection.
@@ -35,13 +36,13 @@
 
 /// The idle connections of a host to its backend servers.
 #[derive(Debug, Default)]
-pub struct ConnectionPool {
+pub struct ServerPool {
     idle: collections::HashMap<String, Vec<IdleConnection>>,
 }
 
-impl ConnectionPool {
-    /// Takes a usable idle connection, the most recently used one first. With `must_be_fresh`, it must
-    /// have been idle for a short time only.
+impl ServerPool {
+    /// Takes a usable idle connection, the most recently used one first. With `must_be_fresh`, it
+    /// must have been idle for a short time only.
     pub fn take(
         &mut self,
         server_id: &str,
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -11,8 +11,8 @@
 /// Retry time that a host without a configuration or server list sends, in milliseconds: about what
 /// it takes to read one from the store or another host.
 const NO_CONFIGURATION_RETRY_MS: u64 = 300;
-/// Retry time that a stopping host sends, in milliseconds. It is short because another host can take
-/// the request at once.
+/// Retry time that a stopping host sends, in milliseconds. It is short because another host can
+/// take the request at once.
 const LEAVING_RETRY_MS: u64 = 10;
 
 /// Why a request ends without a server's answer.
@@ -176,7 +176,8 @@
         }
     }
 
-    /// The key belongs to no valid customer, but some customers in the configuration are unreadable.
+    /// The key belongs to no valid customer, but some customers in the configuration are
+    /// unreadable.
     pub(super) const fn undecided_key(key: KeyDigest) -> Self {
         let failure = Self::refused(
             RequestEnd::RefusedUnconfigured,
--- a/src/entry/send_gate.rs
+++ b/src/entry/send_gate.rs
@@ -1,7 +1,7 @@
 //! The last check before a request is written to a server.
 //!
-//! A server is selected before send tokens are requested and a connection is opened, so its state may
-//! have changed by the time of the write. All requests to servers are written through a
+//! A server is selected before send tokens are requested and a connection is opened, so its state
+//! may have changed by the time of the write. All requests to servers are written through a
 //! [`SendPermit`], which checks the state again.
 
 use bytes::Bytes;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -37,10 +37,10 @@
 }
 
 impl ServerRecord {
-    /// Compares this incarnation with another one of the same server, by the reported start times and
-    /// not by store revisions. Server clocks may be wrong, so an earlier start never replaces a later
-    /// one. A record with a start time is newer than one without; a record without one counts as the
-    /// same incarnation.
+    /// Compares this incarnation with another one of the same server, by the reported start times
+    /// and not by store revisions. Server clocks may be wrong, so an earlier start never replaces a
+    /// later one. A record with a start time is newer than one without; a record without one counts
+    /// as the same incarnation.
     #[must_use]
     pub fn start_order(&self, other: &Self) -> cmp::Ordering {
         start_order(self.born, other.born)
--- a/src/entry/server_header.rs
+++ b/src/entry/server_header.rs
@@ -1,4 +1,5 @@
-//! Parses the answer headers in which a backend server states its own condition: leaving and backoff.
+//! Parses the answer headers in which a backend server states its own condition: leaving and
+//! backoff.
 
 use std::time;
 
@@ -42,7 +43,8 @@
     }
 }
 
-/// The header with the time for which a server that refuses a request wants no others from this host.
+/// The header with the time for which a server that refuses a request wants no others from this
+/// host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackoffHeader {
     /// The header is missing or zero.
--- a/src/entry/server_notice.rs
+++ b/src/entry/server_notice.rs
@@ -1,10 +1,10 @@
-//! Tracks what a backend server announced about itself: that it is leaving, or that it wants a backoff.
-//! Derives from this whether the server may get new requests.
+//! Tracks what a backend server announced about itself: that it is leaving, or that it wants a
+//! backoff. Derives from this whether the server may get new requests.
 
 use crate::timer::Moment;
 
-/// Share of a leaving server's remaining time in which it may still get requests that no other server
-/// takes. The other half is left for the network latency and the work.
+/// Share of a leaving server's remaining time in which it may still get requests that no other
+/// server takes. The other half is left for the network latency and the work.
 const LAST_RESORT_SHARE: f64 = 0.5;
 
 /// After a backoff, another probe request may be sent if the previous one got no answer within this
@@ -43,8 +43,8 @@
         is_new
     }
 
-    /// Records a backoff until the given time; returns whether the server was not in backoff before. A
-    /// later end of a previous backoff is kept.
+    /// Records a backoff until the given time; returns whether the server was not in backoff
+    /// before. A later end of a previous backoff is kept.
     pub fn on_backoff(&mut self, until: Moment, now: Moment) -> bool {
         let is_new = !self.is_in_backoff(now);
         self.backoff_until = self.backoff_until.max(Some(until));
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Whether the server may get new requests. A leaving server keeps serving for at least `leave_ms`.
+    /// Whether the server may get new requests. A leaving server keeps serving for at least
+    /// `leave_ms`.
     ///
     /// ```
     /// use ledgespool::entry::server_notice::{ServerNotice, ServerAvailability};
--- a/src/entry/wire.rs
+++ b/src/entry/wire.rs
@@ -1,5 +1,5 @@
-//! The interface to a platform's wire format: header names and body formats of requests, answers and
-//! lookups.
+//! The interface to a platform's wire format: header names and body formats of requests, answers
+//! and lookups.
 
 use std::time;
 
@@ -29,7 +29,7 @@
     /// The request carries one key.
     Given(KeyDigest),
     /// The request carries more than one key, so that the customer is ambiguous.
-    Several,
+    Multiple,
 }
 
 /// What the headers of a backend server's answer state.
