--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -132,9 +132,9 @@
     }
 }
 
-/// The conditions of one attempt.
+/// The deadline and the send token of one attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptTerms {
+pub struct AttemptOptions {
     /// When the request must have been answered.
     pub deadline: Moment,
     /// The token that allows sending it to a server with a limit.
@@ -147,7 +147,7 @@
     host: &EntryHost<W>,
     server: &rc::Rc<FleetServer>,
     request: &ForwardRequest,
-    terms: AttemptTerms,
+    options: AttemptOptions,
 ) -> AttemptOutcome {
     let _slot = SlotGuard::at(server);
     let must_be_fresh = !request.is_retryable;
@@ -156,14 +156,14 @@
         .borrow_mut()
         .take(&server.id, must_be_fresh, host.now());
     if let Some(sender) = idle {
-        match send_in_time(host, server, sender, request, terms).await {
+        match send_in_time(host, server, sender, request, options).await {
             // The server closed the idle connection; nothing was written.
             AttemptOutcome::NotSent => {}
             outcome => return outcome,
         }
     }
-    match connect(host, server, terms.deadline).await {
-        Ok(sender) => send_in_time(host, server, sender, request, terms).await,
+    match connect(host, server, options.deadline).await {
+        Ok(sender) => send_in_time(host, server, sender, request, options).await,
         Err(outcome) => outcome,
     }
 }
@@ -197,10 +197,10 @@
     server: &FleetServer,
     sender: ServerSender,
     request: &ForwardRequest,
-    terms: AttemptTerms,
+    options: AttemptOptions,
 ) -> AttemptOutcome {
-    let left = time::Duration::from_millis(terms.deadline.since(host.now()));
-    let sending = send(host, server, sender, request, terms);
+    let left = time::Duration::from_millis(options.deadline.since(host.now()));
+    let sending = send(host, server, sender, request, options);
     let outcome = tokio::time::timeout(left, sending).await;
     outcome.unwrap_or(AttemptOutcome::TimedOut)
 }
@@ -210,14 +210,14 @@
     server: &FleetServer,
     mut sender: ServerSender,
     request: &ForwardRequest,
-    terms: AttemptTerms,
+    options: AttemptOptions,
 ) -> AttemptOutcome {
     let id = request.id.as_deref();
-    let permit = match SendPermit::obtain(host, server, terms.right, id) {
+    let permit = match SendPermit::obtain(host, server, options.right, id) {
         Ok(permit) => permit,
         Err(cause) => return AttemptOutcome::Withheld(cause),
     };
-    let time_left = time::Duration::from_millis(terms.deadline.since(host.now()));
+    let time_left = time::Duration::from_millis(options.deadline.since(host.now()));
     let message = build_message(host, server, request, time_left);
     let sent_in = host.server_limits.table().spell_of(server.start_hash);
     let (head, body) = match permit.write(&mut sender, message).await {
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -6,7 +6,7 @@
 use std::rc;
 
 use super::choice::{self, ChoiceQuery, ChosenServer, NoServer, ServerChoice};
-use super::exchange::{self, AttemptOutcome, AttemptTerms, ServerAnswer};
+use super::exchange::{self, AttemptOptions, AttemptOutcome, ServerAnswer};
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::offer_record::OfferRecord;
@@ -160,7 +160,7 @@
                 free_slots,
             } => {
                 if !self.host.fleet.borrow().is_listed() {
-                    return Err(RequestFailure::UNLISTED);
+                    return Err(RequestFailure::NO_SERVER_LIST);
                 }
                 let failure = RequestFailure::without_server(reason, come_back_ms);
                 Err(failure.with_free_slots(free_slots))
@@ -231,7 +231,7 @@
         let object = self.open.object;
         let known_object = object.is_none_or(|object| server.remember_object(object));
         let began = self.host.now();
-        let terms = AttemptTerms {
+        let terms = AttemptOptions {
             deadline: self.open.deadline,
             right,
         };
--- a/src/entry/open_request.rs
+++ b/src/entry/open_request.rs
@@ -156,7 +156,7 @@
     customer: Option<&CustomerRule>,
 ) -> Result<Vec<String>, RequestFailure> {
     let others = customer.map_or(&[][..], |customer| &customer.homes);
-    customer::common_homes(&route.homes, others).ok_or(RequestFailure::HOMES_APART)
+    customer::common_homes(&route.homes, others).ok_or(RequestFailure::NO_COMMON_REGION)
 }
 
 fn sample_service<W: WireProtocol>(host: &EntryHost<W>, route: &RouteRule) -> String {
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -1,6 +1,6 @@
 //! Serves a caller's request: reads it, sends it to backend servers and returns the answer.
 //!
-//! Every request ends with one log line and one count in the metrics, also if its caller leaves.
+//! Every request is logged and counted once in the metrics, also if its caller disconnects first.
 
 use std::{rc, time};
 
@@ -99,12 +99,12 @@
         let millis = host.now().since(self.arrived);
         host.metrics
             .borrow_mut()
-            .on_request(route, failure.end, millis);
+            .on_request(route, failure.completion, millis);
         let fields = json!({
             "id": self.id,
             "route": route,
             "fingerprint": self.fingerprint.map(|fingerprint| fingerprint.to_string()),
-            "end": failure.end.as_str(),
+            "end": failure.completion.as_str(),
             "status": failure.status.as_u16(),
             "code": failure.code().to_string(),
             "reason": failure.reason,
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -21,7 +21,7 @@
     /// The HTTP status for the caller.
     pub(super) status: http::StatusCode,
     /// The outcome under which metrics count the request.
-    pub(super) end: RequestEnd,
+    pub(super) completion: RequestEnd,
     /// After how many milliseconds the caller should retry; `None` if a retry does not help.
     pub(super) retry_after_ms: Option<u64>,
     /// The reason, for the log.
@@ -38,7 +38,7 @@
 impl RequestFailure {
     /// The result code in the response and the log.
     pub(super) const fn code(&self) -> ResultCode {
-        match (self.end, self.status) {
+        match (self.completion, self.status) {
             (RequestEnd::RefusedFull, _) => ResultCode::BudgetExhausted,
             (RequestEnd::RefusedNoServer | RequestEnd::RefusedUnlisted, _) => {
                 ResultCode::NoHealthyServer
@@ -69,7 +69,7 @@
         "no configuration yet",
     );
     /// The host has no list of servers yet.
-    pub(super) const UNLISTED: Self = Self::refused(
+    pub(super) const NO_SERVER_LIST: Self = Self::refused(
         RequestEnd::RefusedUnlisted,
         NO_CONFIGURATION_RETRY_MS,
         "no list of servers yet",
@@ -78,7 +78,7 @@
     pub(super) const LEAVING: Self = Self::refused(
         RequestEnd::RefusedLeaving,
         LEAVING_RETRY_MS,
-        "this host stops before the request's time is over",
+        "this host stops before the request's deadline",
     );
     /// No route matches the request.
     pub(super) const NO_ROUTE: Self =
@@ -89,7 +89,7 @@
     pub(super) const MULTIPLE_KEYS: Self =
         Self::rejected(http::StatusCode::UNAUTHORIZED, "more than one key");
     /// Route and customer allow no common region. A retry does not help.
-    pub(super) const HOMES_APART: Self = Self::with_status(
+    pub(super) const NO_COMMON_REGION: Self = Self::with_status(
         http::StatusCode::SERVICE_UNAVAILABLE,
         RequestEnd::RefusedHomes,
         "no region is allowed by both the route and the customer",
@@ -113,10 +113,10 @@
     );
 
     /// The request has not run and may be retried.
-    const fn refused(end: RequestEnd, retry_after_ms: u64, reason: &'static str) -> Self {
+    const fn refused(completion: RequestEnd, retry_after_ms: u64, reason: &'static str) -> Self {
         Self {
             status: http::StatusCode::SERVICE_UNAVAILABLE,
-            end,
+            completion,
             retry_after_ms: Some(retry_after_ms),
             reason,
             free_slots: None,
@@ -125,10 +125,14 @@
         }
     }
 
-    const fn with_status(status: http::StatusCode, end: RequestEnd, reason: &'static str) -> Self {
+    const fn with_status(
+        status: http::StatusCode,
+        completion: RequestEnd,
+        reason: &'static str,
+    ) -> Self {
         Self {
             status,
-            end,
+            completion,
             retry_after_ms: None,
             reason,
             free_slots: None,
