--- /dev/null
+++ b/src/entry/answer_outcome.rs
@@ -0,0 +1,84 @@
+//! Classifies a server's answer by its head: accepted, rejected, or a refusal to run the request.
+
+use super::answer_claims::{AnswerClaims, AnswerTrust};
+use super::exchange::{AttemptOutcome, ForwardRequest, LossCause};
+use super::fleet_server::FleetServer;
+use super::host::EntryHost;
+use super::server::ServerLoad;
+use super::server_limit::table::LimitPeriod;
+use super::wire::{ServerHead, WireProtocol};
+
+/// Returns the outcome of an attempt if the answer's head decides it, and `None` if the answer is
+/// accepted. Applies the answer's claims about the server in both cases.
+pub(super) fn outcome_from_head<W: WireProtocol>(
+    host: &EntryHost<W>,
+    server: &FleetServer,
+    request: &ForwardRequest,
+    head: &http::response::Parts,
+    sent_in: Option<LimitPeriod>,
+) -> Option<AttemptOutcome> {
+    let answer = host.wire.read_answer(&head.headers);
+    let outcome = classify(server, request, head, &answer);
+    let claims = AnswerClaims {
+        head: &answer,
+        status: head.status,
+        trust: trust_of(head, &answer, outcome.as_ref()),
+        sent_in,
+    };
+    host.on_answer_claims(server, &claims);
+    if matches!(outcome, Some(AttemptOutcome::Lost(_))) {
+        host.metrics.borrow_mut().answers_dropped += 1;
+    }
+    outcome
+}
+
+fn classify(
+    server: &FleetServer,
+    request: &ForwardRequest,
+    head: &http::response::Parts,
+    answer: &ServerHead<'_>,
+) -> Option<AttemptOutcome> {
+    if answer.request_id.is_some() && answer.request_id != request.id.as_deref() {
+        return Some(AttemptOutcome::Lost(LossCause::WrongRequest));
+    }
+    let misdirected = head.status == http::StatusCode::MISDIRECTED_REQUEST;
+    if misdirected && answer.server_id.is_some_and(|id| *id != *server.id) {
+        return Some(AttemptOutcome::OtherServer);
+    }
+    // A 421 means that the request has not run, whichever server sent it.
+    if answer.not_run || misdirected {
+        return Some(AttemptOutcome::NotRun {
+            status: head.status,
+            had_free_slot: answer.load.is_some_and(ServerLoad::has_free_slot),
+        });
+    }
+    loss_cause(head, answer).map(AttemptOutcome::Lost)
+}
+
+/// How much an answer with this outcome is trusted to come from the server.
+fn trust_of(
+    head: &http::response::Parts,
+    answer: &ServerHead<'_>,
+    outcome: Option<&AttemptOutcome>,
+) -> AnswerTrust {
+    // Another process on the server's address may have sent this answer.
+    if head.status == http::StatusCode::MISDIRECTED_REQUEST {
+        return AnswerTrust::Foreign;
+    }
+    match outcome {
+        Some(AttemptOutcome::Lost(LossCause::WrongRequest)) => AnswerTrust::Foreign,
+        Some(AttemptOutcome::Lost(_)) => AnswerTrust::Distrusted,
+        _ if answer.signed || answer.not_run => AnswerTrust::Verified,
+        _ => AnswerTrust::Unsigned,
+    }
+}
+
+/// Why an answer must not be forwarded to the caller, if so.
+fn loss_cause(head: &http::response::Parts, answer: &ServerHead<'_>) -> Option<LossCause> {
+    if head.status.is_success() && !answer.signed {
+        return Some(LossCause::Unsigned);
+    }
+    let implies_not_run = matches!(head.status.as_u16(), 408 | 429 | 503);
+    // To the caller, such a status would mean that the request has not run.
+    implies_not_run.then_some(LossCause::UnconfirmedRefusal)
+}
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -15,13 +15,13 @@
 use super::catch_up::OpenFetches;
 use super::configuration::{RouteTable, ServiceConfiguration};
 use super::customer::CustomerTable;
-use super::decision_log::{DecisionLog, LineWeight};
+use super::decision_log::{DecisionLog, LogPriority};
 use super::evacuation::EvacuationList;
 use super::fleet::Fleet;
 use super::fleet_server::FleetServer;
 use super::gossip::PeerSocket;
 use super::join::{self, JoinState};
-use super::leaving_news::LeavingNews;
+use super::leaving_updates::LeavingUpdates;
 use super::limit_role::LimitRole;
 use super::metrics_page::{CurrentFigures, EntryMetrics};
 use super::peer_message::PeerFormatError;
@@ -89,7 +89,7 @@
     pub(super) limits: LimitRole,
     pub(super) quarantine: QuarantineRole,
     pub(super) server_limits: ServerLimitRole,
-    pub(super) leaving_news: LeavingNews,
+    pub(super) leaving_updates: LeavingUpdates,
     pub(super) rollouts: RolloutRole,
     /// The store's era, as this host or another has seen it.
     pub(super) store_era: cell::Cell<u64>,
@@ -136,7 +136,7 @@
             limits,
             quarantine: QuarantineRole::default(),
             server_limits: ServerLimitRole::default(),
-            leaving_news: LeavingNews::default(),
+            leaving_updates: LeavingUpdates::default(),
             rollouts: RolloutRole::default(),
             store_era: cell::Cell::new(0),
         }
@@ -225,7 +225,7 @@
 
     /// Writes an important log line.
     pub fn note(&self, event: EventCode, fields: serde_json::Value) {
-        self.log.write(event, LineWeight::Important, fields);
+        self.log.write(event, LogPriority::Important, fields);
     }
 
     /// Whether callers may be sent here.
@@ -257,7 +257,7 @@
             store_era: self.store_era.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
-            resting_servers: self.count_servers(|server| server.notice().is_resting(now)),
+            resting_servers: self.count_servers(|server| server.notice().is_in_backoff(now)),
             idle_connections: self.pool.borrow().idle_count(),
             open_requests: self.open_requests(),
             log_left_out: loss.left_out,
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::OfferSeries;
-use crate::entry::exchange::{LossCause, OfferEnd};
+use crate::entry::exchange::{AttemptOutcome, LossCause};
 use crate::entry::fleet_server::FleetServer;
 use crate::entry::quarantine_role;
 use crate::entry::request_failure::RequestFailure;
@@ -25,7 +25,7 @@
     pub(super) fn count_for_rollout(
         &self,
         server: &FleetServer,
-        end: &OfferEnd,
+        end: &AttemptOutcome,
         began: Moment,
         known_object: bool,
     ) {
@@ -41,13 +41,13 @@
             && took_ms > self.open.route.goal_ms
             && took_ms as f64 > expected_ms * rollout_role::SLOW_ANSWER_FACTOR;
         let is_bad = match end {
-            OfferEnd::Answered(answer) => answer.head.status.is_server_error() || is_slow,
-            OfferEnd::TimedOut | OfferEnd::Lost(_) => true,
-            OfferEnd::NotSent
-            | OfferEnd::Withheld(_)
-            | OfferEnd::OutOfTime
-            | OfferEnd::NotRun { .. }
-            | OfferEnd::OtherServer => return,
+            AttemptOutcome::Answered(answer) => answer.head.status.is_server_error() || is_slow,
+            AttemptOutcome::TimedOut | AttemptOutcome::Lost(_) => true,
+            AttemptOutcome::NotSent
+            | AttemptOutcome::Withheld(_)
+            | AttemptOutcome::OutOfTime
+            | AttemptOutcome::NotRun { .. }
+            | AttemptOutcome::OtherServer => return,
         };
         let answer = RolloutAnswer {
             route: &self.open.route.name,
@@ -95,16 +95,16 @@
         &mut self,
         server: &FleetServer,
         status: http::StatusCode,
-        had_room: bool,
+        had_free_slot: bool,
     ) {
         self.host.metrics.borrow_mut().shed += 1;
         self.note_offer(server, status.as_str());
-        if !had_room {
+        if !had_free_slot {
             self.on_sent(self.not_run());
             return;
         }
         self.on_sent(RequestFailure::not_run(SHED_COME_BACK_MS));
-        let wants_rest = server.notice().is_resting(self.host.now());
+        let wants_rest = server.notice().is_in_backoff(self.host.now());
         if !self.asked_again && !wants_rest {
             self.asked_again = true;
             self.tried.retain(|id| **id != *server.id);
@@ -128,7 +128,7 @@
             quarantine_role::on_broken(self.host, server, self.open.fingerprint());
         }
         let failure = RequestFailure::lost(cause.as_str());
-        if !self.open.forward.may_repeat {
+        if !self.open.forward.is_retryable {
             return Err(failure);
         }
         self.on_sent(failure);
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -153,7 +153,7 @@
             pool.put(&server.id, sender, None, host.now());
         }
         // The server is running, or is not reachable from here: neither incriminates the requests.
-        Ok(_) | Err(ConnectFault::Silent) => {}
+        Ok(_) | Err(ConnectFault::Unreachable) => {}
         Err(ConnectFault::Refused) => {
             host.on_server_unreachable(&server);
             host.on_server_crashed(&server, &requests);
@@ -213,7 +213,7 @@
 
     /// Clears a suspect when a server has answered it with a complete, successful response.
     pub(super) fn on_success(&self, open: &OpenRequest, answer: &ServerAnswer) {
-        let is_whole_success = answer.head.status.is_success() && answer.rest.is_none();
+        let is_whole_success = answer.head.status.is_success() && answer.remaining.is_none();
         if !is_whole_success || !self.quarantine.table.borrow().has_announced() {
             return;
         }
