--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,7 +1,10 @@
-//! The entry hosts that this one knows: who lives, who is ready, whom callers are sent to.
+//! Tracks the other entry hosts: which are alive and ready, and which addresses lookups return.
 //!
-//! What hosts tell of third ones stands in `heard`, how they find out whom they lack in `reconcile`, how many there are in `region_size`, where datagrams go in `targets`, and who
-//! watches the store in `watchers`.
+//! [`PeerTable`] is filled from the store and from heartbeats. Its submodules handle one task each:
+//! `peer_status` the gossip about third hosts, `reconcile` finding missing hosts, `region_size`
+//! host counts, `targets` the recipients of datagrams, `watchers` the choice of hosts that watch
+//! the store, and `registration`, `coordinators`, `limit_owners` and `suspect_trackers` the choice
+//! of hosts for other duties.
 
 mod grantors;
 mod heard;
@@ -24,41 +27,42 @@
 use super::peer_message::{PeerHeartbeat, WatchState};
 use crate::timer::Moment;
 
-/// A host that was not heard for this long is not named to callers, in milliseconds. Four
-/// heartbeats, so that one lost datagram changes nothing; well inside the time in which callers
-/// must not be sent to a host that is gone.
+/// A host not seen for this long is no longer advertised to callers, in milliseconds. Four
+/// heartbeats fit in, so one lost datagram changes nothing, and it is well below the time within
+/// which callers must stop being sent to a failed host.
 pub const SILENT_MS: u64 = 2_000;
-/// The same in a region so large that most hosts are heard of through others: two more heartbeats,
-/// in which the word goes round, in milliseconds.
+/// The same in a region where most hosts are seen only through gossip: two more heartbeats for the
+/// status to spread, in milliseconds.
 pub const INDIRECT_SILENT_MS: u64 = 3_000;
-/// A host of the own region that was silent for this long is forgotten, and its entry is removed from the
+/// A host of the own region not seen for this long is forgotten and its entry is removed from the
 /// store, in milliseconds.
 const REMOVE_MS: u64 = 20_000;
-/// One run of an entry host, as the store and other hosts hold it.
+/// One run of an entry host, as it is written to the store and sent to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HostRecord {
     /// The host's name.
     pub name: String,
-    /// Rises with each start of the host's process.
+    /// Increases with each start of the host's process.
     pub run: u64,
-    /// The hall that it stands in.
+    /// The hall that the host is in.
     pub hall: String,
     /// The region of that hall.
     pub region: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: net::SocketAddr,
-    /// Where other hosts fetch what it knows.
+    /// Address from which other hosts fetch state.
     pub peer_address: net::SocketAddr,
-    /// Where heartbeats go (UDP).
+    /// UDP address for heartbeats and other datagrams.
     pub heartbeat_address: net::SocketAddr,
-    /// The part of a core that it has, in thousandths; the larger hosts watch the store.
+    /// The host's share of a core, in thousandths. Larger hosts watch the store.
     pub processor_milli: u32,
-    /// The hosts that it knew in its region when this was written, itself included; 0 where it did not tell.
+    /// Number of hosts that this host knew in its region when it wrote the record, itself included;
+    /// 0 if it did not report any.
     #[serde(default)]
     pub region_hosts: u32,
 }
 
-/// What is known of one of them.
+/// State of one other host.
 #[derive(Debug)]
 struct PeerEntry {
     record: HostRecord,
@@ -75,17 +79,18 @@
             .is_some_and(|heard| now.since(heard) <= silent_ms)
     }
 
-    /// Heard, or met so lately that its first heartbeat may be on its way.
+    /// Whether the host was seen, or discovered, so recently that it may be alive. The first
+    /// heartbeat of a newly discovered host may still be on its way.
     fn may_live(&self, now: Moment, silent_ms: u64) -> bool {
         now.since(self.heard.unwrap_or(self.met)) <= silent_ms
     }
 
-    /// Heard lately, and not about to stop.
+    /// Whether the host is alive and has not announced its shutdown.
     fn stays(&self, now: Moment, silent_ms: u64) -> bool {
         self.is_heard(now, silent_ms) && !self.leaving
     }
 
-    /// It was heard itself.
+    /// Applies a heartbeat that came from the host itself.
     fn on_heartbeat(
         &mut self,
         heartbeat: &PeerHeartbeat,
@@ -97,7 +102,7 @@
         self.heard = Some(now);
         self.ready = heartbeat.ready;
         self.watch = heartbeat.watch;
-        // A host that leaves never comes back in the same run; a late datagram must not undo that.
+        // A leaving host never returns in the same run; a late datagram must not reset the flag.
         self.leaving |= heartbeat.leaving;
         match (turned, silent) {
             (true, _) => PeerChange::Leaving,
@@ -107,55 +112,56 @@
     }
 }
 
-/// The hosts that callers may be sent to.
+/// Hosts that callers may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct NamedHosts {
-    /// Where callers connect.
+    /// Addresses for callers.
     pub addresses: Vec<net::SocketAddr>,
-    /// Whether they stand in other regions than the caller, since none of its own is known to live.
+    /// Whether the hosts are in other regions than the caller, because none of the caller's region
+    /// is known to be alive.
     pub is_elsewhere: bool,
 }
 
-/// What a heartbeat changed, for the log.
+/// The effect of a heartbeat, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerChange {
-    /// A host, or a new run of it, is heard for the first time, or again after a silence.
+    /// A host or a new run of it was seen for the first time, or again after a timeout.
     Heard,
-    /// It leaves.
+    /// The host announced its shutdown.
     Leaving,
-    /// Nothing that callers would notice.
+    /// Nothing that concerns callers.
     None,
 }
 
 /// The other entry hosts.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    /// Its order is the same in each run, so that what a random source of the same seed chooses from it is.
+    /// `FxHashMap` iterates in the same order in every process, so random choices with the same
+    /// seed give the same hosts.
     peers: rustc_hash::FxHashMap<String, PeerEntry>,
-    /// Names by their short hashes.
+    /// Host names by the short hashes used in gossip.
     names: collections::HashMap<u32, String>,
-    /// What was asked of others.
+    /// State of the requests for missing hosts.
     reconcile: reconcile::ReconcileState,
-    /// How many hosts of each region are known.
+    /// Number of known hosts by region.
     region_counts: collections::BTreeMap<String, u32>,
-    /// Hashes of all names; made when asked for, since a host that starts meets hundreds. With all
-    /// indexes made anew for each, meeting 295 hosts took 7.3 ms of a whole core; now 0.17 ms
-    /// (five runs of a loop over new records).
+    /// Hashes of all host names, computed on demand. Rebuilding all indexes for each new host took
+    /// 7.3 ms of a whole core for 295 hosts; this takes 0.17 ms.
     hashes: cell::RefCell<Option<rc::Rc<[u64]>>>,
-    /// Entries of hosts in the store, on hosts that watch it.
+    /// Entries of hosts in the store; filled only on hosts that watch the store.
     entries: collections::HashMap<String, keepers::HostEntry>,
-    /// The most hosts of each region that others told of lately.
+    /// The largest recently reported size of each region.
     told_sizes: collections::BTreeMap<String, region_size::ToldSize>,
-    /// Whether the entries in the store were ever read.
+    /// Whether the entries in the store were read at least once.
     entries_read: bool,
-    /// Whether all hosts are known, as far as can be told.
+    /// Whether all hosts are presumed to be known.
     listed: bool,
-    /// Whether the settings name seeds beside this host, so that there probably are other hosts.
+    /// Whether the settings name other seeds, so that other hosts probably exist.
     may_have_peers: bool,
 }
 
 impl PeerTable {
-    /// Learns of a host from the store or another host.
+    /// Adds a host, or a newer run of it, learned from the store or another host.
     pub fn on_record(&mut self, record: &HostRecord, now: Moment) {
         self.on_told_size(&record.region, record.region_hosts, now);
         let known = self.peers.get(&record.name);
@@ -175,7 +181,8 @@
             Some(before) => self.uncount(&before.record.region),
             None => self.on_new_name(&record.name),
         }
-        // Those that start together find the store without entries, and know each other by heartbeats.
+        // Hosts that start together find no entries in the store and learn of each other by
+        // heartbeats.
         if self.entries_read && self.entries.is_empty() {
             self.on_listed();
         }
@@ -195,7 +202,7 @@
         }
     }
 
-    /// A host was heard.
+    /// Applies a heartbeat and the peer statuses in it.
     pub fn on_heartbeat(&mut self, heartbeat: &PeerHeartbeat, now: Moment) -> PeerChange {
         if let Some(record) = &heartbeat.record {
             self.on_record(record, now);
@@ -214,7 +221,8 @@
         }
     }
 
-    /// The entry of a host's run is gone from the store. Word of an earlier run's end may come late.
+    /// Removes a host after its entry is gone from the store, unless a later run is known. The
+    /// report of an earlier run's end may arrive late.
     pub fn on_removed(&mut self, name: &str, run: u64) {
         let known = self.peers.get(name);
         if known.is_some_and(|known| known.record.run <= run)
@@ -226,13 +234,13 @@
         }
     }
 
-    /// The run of a host that is known; 0 for none.
+    /// The known run of a host; 0 if the host is unknown.
     #[must_use]
     pub fn run_of(&self, name: &str) -> u64 {
         self.peers.get(name).map_or(0, |peer| peer.record.run)
     }
 
-    /// Hashes of the names of all others; `None` until the whole list was read.
+    /// Hashes of the names of all other hosts; `None` until all hosts are presumed to be known.
     #[must_use]
     pub fn other_hashes(&self) -> Option<rc::Rc<[u64]>> {
         let hash_all = || self.peers.keys().map(|name| hash::of_name(name)).collect();
@@ -247,7 +255,7 @@
         peers.filter(move |peer| peer.record.region == region)
     }
 
-    /// How long a host of `region` may be silent before it counts as gone, in milliseconds.
+    /// How long a host of `region` may go unseen before it counts as gone, in milliseconds.
     fn silent_ms(&self, region: &str) -> u64 {
         let count = self.region_counts.get(region);
         if count.is_some_and(|count| *count as usize > NEAR_TARGETS) {
@@ -257,13 +265,13 @@
         }
     }
 
-    /// Where the peer address of a host is, if it is known.
+    /// The peer address of a host, if the host is known.
     #[must_use]
     pub fn peer_address(&self, host: &str) -> Option<net::SocketAddr> {
         self.peers.get(host).map(|peer| peer.record.peer_address)
     }
 
-    /// Where the datagrams of a host go, if it is known.
+    /// The heartbeat address of a host, if the host is known.
     #[must_use]
     pub fn heartbeat_address(&self, host: &str) -> Option<net::SocketAddr> {
         self.peers
@@ -271,41 +279,42 @@
             .map(|peer| peer.record.heartbeat_address)
     }
 
-    /// Whether the host with this peer address is known to stand in `region`.
+    /// Whether a known host in `region` has this peer address.
     #[must_use]
     pub fn stands_in(&self, peer_address: net::SocketAddr, region: &str) -> bool {
         let mut near = self.near(region);
         near.any(|peer| peer.record.peer_address == peer_address)
     }
 
-    /// Whether any other host is known.
+    /// Whether no other host is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// The records of all others.
+    /// The records of all other hosts.
     pub fn records(&self) -> impl Iterator<Item = &HostRecord> {
         self.peers.values().map(|peer| &peer.record)
     }
 
-    /// Whether the entries of hosts in the store were ever read here.
+    /// Whether this host has read the entries in the store at least once.
     #[must_use]
     pub const fn has_read_entries(&self) -> bool {
         self.entries_read
     }
 
-    /// The settings name seeds beside this host.
+    /// Records that the settings name other seeds.
     pub const fn on_other_seeds(&mut self) {
         self.may_have_peers = true;
     }
 
-    /// All hosts are known, since another host that knows them told, or enough time has passed.
+    /// Records that all hosts are known: another host reported a complete list, or enough time has
+    /// passed.
     pub const fn on_listed(&mut self) {
         self.listed = true;
     }
 
-    /// Whether all hosts are known, as far as can be told.
+    /// Whether all hosts are presumed to be known.
     #[must_use]
     pub const fn is_listed(&self) -> bool {
         self.listed
@@ -316,8 +325,8 @@
         halls.all(|hall| self.records().any(|record| record.hall == hall))
     }
 
-    /// The hosts to name to a caller in `region`: those that live, are ready and stay, and `own`. Its own
-    /// region's, if there are any, else all.
+    /// The hosts to advertise to a caller in `region`: all that are alive, ready and not leaving,
+    /// and `own`. Hosts of other regions are included only if the caller's region has none.
     #[must_use]
     pub fn named_for(&self, region: &str, own: Option<&HostRecord>, now: Moment) -> NamedHosts {
         let near = self.live_addresses(|record| record.region == region, own, now);
