--- a/src/entry/peers/grantors.rs
+++ b/src/entry/peers/grantors.rs
@@ -1,4 +1,4 @@
-//! Which hosts pool the limits of customers.
+//! Selects the hosts that coordinate shared limits.
 
 use std::{cmp, net};
 
@@ -6,25 +6,27 @@
 use crate::entry::hash;
 use crate::timer::Moment;
 
-/// Hosts that a customer's limit is divided by at a host that was told nothing of the others yet. Unlike other limits a
-/// customer's is the only way in, so some of it is held from the start; in a larger deployment hosts that start without
-/// any word of others may exceed it together until they meet.
+/// Assumed number of hosts that share a customer's limit before any report about other hosts has
+/// arrived. A host applies part of a customer's limit from its start, since that limit is the only
+/// way in. In a deployment with more hosts, those that start without any report may exceed the
+/// limit together until they discover each other.
 const UNTOLD_HOSTS: u32 = 470;
 
-/// A host that pools limits, and where it is.
+/// A host that coordinates limits, and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantorPlace {
-    /// Its name.
+    /// The host's name.
     pub name: String,
-    /// Where its datagrams go.
+    /// Address for datagrams.
     pub address: net::SocketAddr,
 }
 
 impl PeerTable {
-    /// The host of `region` that pools the limits of a group, or keeps the limit of a server: of the largest that
-    /// live the first by a hash of host and `key`. All hosts that know the same others name the same one. The largest, since
-    /// each request of a customer with a limit is a question to them, and a tenth of a core takes ten times as
-    /// long for its answer.
+    /// The host of `region` that coordinates the limits of a group or owns the limit of a server:
+    /// the first by rendezvous hash of host and `key` among the largest hosts that may be alive.
+    /// All hosts that know the same peers select the same one. Each request of a customer with a
+    /// limit can cost the coordinator one message, and a host with a tenth of a core takes ten
+    /// times as long to answer it.
     #[must_use]
     pub fn grantor_of(
         &self,
@@ -49,10 +51,11 @@
         })
     }
 
-    /// All hosts that limits are divided by: as many as are known, or as others told of lately. A host
-    /// that has just started goes by what the entries in the store told of each of `regions` before:
-    /// with the most that are planned instead it took a seventh of its part for 5 s after each return
-    /// of all 67 hosts, and 8 in 10 requests were refused meanwhile.
+    /// Number of hosts by which limits are divided: the known hosts, or the recently reported
+    /// number if that is larger. A host that has just started uses the sizes reported in the
+    /// store's entries if they cover all of `regions`. With the largest planned number instead,
+    /// hosts got a seventh of their share for 5 s after a restart of all 67 hosts, and 8 in 10
+    /// requests were refused during that time.
     pub fn limit_hosts<'a>(
         &self,
         own_region: &str,
@@ -76,7 +79,7 @@
     }
 }
 
-/// Hosts whose processors differ by less than a factor of two count as alike.
+/// Sort key for coordinators. Processor sizes within the same power of two are equal.
 fn grantor_order(record: &HostRecord, key: u64) -> (cmp::Reverse<u32>, u64) {
     let size = record.processor_milli.max(1).ilog2();
     let drawn = hash::mix(hash::of_name(&record.name) ^ hash::mix(key.wrapping_add(1)));
--- a/src/entry/peers/limit_keepers.rs
+++ b/src/entry/peers/limit_keepers.rs
@@ -1,43 +1,45 @@
-//! Which host gives out the rights to send to a server that names a limit.
+//! Selects the host that hands out send tokens for a server with an advertised limit.
 
 use std::{collections, net};
 
 use super::{HostRecord, PeerEntry, PeerTable, REMOVE_MS};
 use crate::timer::Moment;
 
-/// Where a right is to be had.
+/// The owner of a server's limit, as seen from this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeeperPlace {
-    /// This host is the keeper.
+    /// This host is the owner.
     Own,
-    /// The keeper, or a host of its region that knows it.
+    /// Another host is the owner, or is in the owner's region and forwards to it.
     At {
-        /// Where its datagrams go.
+        /// Address for datagrams.
         address: net::SocketAddr,
-        /// Whether it stands in this host's region.
+        /// Whether that host is in this host's region.
         is_near: bool,
     },
-    /// No host is known that could be.
+    /// No possible owner is known.
     Nowhere,
 }
 
-/// What a keeper is wanted for, and who asks.
+/// A search for the owner of a server's limit.
 #[derive(Debug, Clone, Copy)]
 pub struct KeeperQuery<'a> {
-    /// The region of the server.
+    /// The server's region.
     pub region: &'a str,
     /// A hash of the server's identity and start.
     pub server: u64,
-    /// The host that asks.
+    /// The host that searches.
     pub own: &'a HostRecord,
-    /// Whether the host that asks may be the keeper itself.
+    /// Whether `own` may itself be the owner.
     pub may_keep: bool,
 }
 
 impl PeerTable {
-    /// Where the keeper of a server is: in the server's region, since a cut between regions leaves it there as well; in
-    /// the first other region by name when all hosts there are gone. Hosts know the others of their own region well
-    /// and those of other regions hardly, so a host there is asked that lately lived, and passes the question on.
+    /// Finds the owner of a server's limit. The owner is in the server's region, so that a
+    /// partition between regions does not separate them; if all hosts there are gone, it is in the
+    /// first other region by name. A host knows the peers of its own region well but those of other
+    /// regions poorly, so it sends to a recently seen host of the other region, which forwards to
+    /// the owner.
     #[must_use]
     pub fn limit_keeper(&self, query: &KeeperQuery<'_>, now: Moment) -> KeeperPlace {
         let own_region = query.own.region.as_str();
@@ -81,7 +83,7 @@
         })
     }
 
-    /// The regions in which a host lived lately, `own`'s among them.
+    /// The regions that have a recently seen host, and the region of `own`.
     fn inhabited_regions<'a>(
         &'a self,
         own: Option<&'a HostRecord>,
