--- a/src/entry/peers/heard.rs
+++ b/src/entry/peers/heard.rs
@@ -1,37 +1,38 @@
-//! What hosts tell each other of third ones.
+//! Gossip about third hosts.
 //!
-//! In a large region a heartbeat goes to a few hosts only, since what a host sends must not grow
-//! with the number of hosts. So each heartbeat also tells whom its sender has heard of lately, and
-//! how long ago that host spoke itself: the word goes round (Demers et al., 1987), and its age is
-//! counted from there, not from when it was repeated.
+//! In a large region a heartbeat goes to a few hosts only, so that the traffic of a host does not
+//! grow with the number of hosts. Each heartbeat therefore also carries the statuses of recently
+//! seen hosts (Demers et al., 1987). The age of a status counts from when its host sent it, not
+//! from when it was relayed.
 
 use super::{INDIRECT_SILENT_MS, PeerEntry, PeerTable};
 use crate::entry::hash;
 use crate::entry::peer_message::HeardHost;
 use crate::timer::Moment;
 
-/// Others of the region that each heartbeat tells of, at most: with them a host of the target's
-/// deployment stays under its 10 KB a second, and a host of a region of 160 is told of by one or
-/// two of the eight heartbeats that another gets in each round. With 32 some living host was named by
-/// fewer than 98 in 100 others in 7 of 120 simulated regions of 157 hosts, with 40 in none of 60.
+/// Maximum number of peer statuses in a heartbeat. With 40, a host of the target deployment stays
+/// under 10 KB a second, and each host of a region of 160 appears in one or two of the eight
+/// heartbeats that another host gets per round. With 32, some live host was advertised by fewer
+/// than 98 in 100 others in 7 of 120 simulated regions of 157 hosts; with 40 in none of 60.
 const TOLD_HOSTS: usize = 40;
 
-/// Hosts of other regions among them, where such are told of.
+/// Maximum number of statuses from other regions among them.
 const TOLD_FAR_HOSTS: usize = 10;
 
-/// What a datagram takes to another host of the region at most, in tenths of a second.
+/// Maximum network latency to another host of the region, in tenths of a second.
 const WAY_TENTHS: u64 = 1;
 
 impl PeerTable {
-    /// What a heartbeat tells of the other hosts of `region`: of those that spoke last, when they
-    /// are many. What is newest is new to most.
+    /// The most recent statuses of hosts in `region`. The newest ones are unknown to most
+    /// recipients.
     #[must_use]
     pub fn heard_lately(&self, region: &str, now: Moment) -> Vec<HeardHost> {
         newest(self.near(region), TOLD_HOSTS, now)
     }
 
-    /// The same with some hosts of other regions, for heartbeats that go there as well: two hosts of one region
-    /// whom only a host of another knows meet by its word.
+    /// Like [`Self::recent_statuses`], with some hosts of other regions, for heartbeats that go to
+    /// those regions too. Two hosts of one region may both be known only to a host of another
+    /// region, and discover each other through its heartbeats.
     #[must_use]
     pub fn heard_anywhere(&self, region: &str, now: Moment) -> Vec<HeardHost> {
         let peers = self.peers.values();
@@ -41,7 +42,7 @@
         told
     }
 
-    /// Others tell of hosts that they have heard.
+    /// Applies peer statuses reported by another host.
     pub fn on_told(&mut self, heard: &[HeardHost], now: Moment) {
         for told in heard {
             let name = self.names.get(&told.name_hash);
@@ -52,7 +53,7 @@
     }
 }
 
-/// What to tell of the `most` hosts that spoke last.
+/// The statuses of the `limit` most recently seen hosts.
 fn newest<'a>(
     peers: impl Iterator<Item = &'a PeerEntry>,
     most: usize,
@@ -67,23 +68,24 @@
 }
 
 impl PeerEntry {
-    /// What to tell others of it; `None` when it was not heard for `age_ms`, or leaves.
+    /// The status to report to others; `None` if the host is leaving or its status would be older
+    /// than `max_age_ms`.
     pub(super) fn told(&self, age_ms: u64, now: Moment) -> Option<HeardHost> {
-        // Rounded up, and a tenth for the way: an age that shrank as it was told on would keep a dead
-        // host alive for as long as the others talk of it.
+        // The age is rounded up and a tenth is added for the network latency. If the age shrank
+        // with each relay, gossip would keep a dead host alive forever.
         let age_tenths = now.since(self.heard?).div_ceil(100) + WAY_TENTHS;
         let is_worth_telling = age_tenths * 100 <= age_ms && !self.leaving;
         is_worth_telling.then_some(HeardHost {
             name_hash: short_hash(&self.record.name),
             run_low: run_low(self.record.run),
-            // At most the times that are told, by the line above; they are below 25 s.
+            // The check above bounds the age by `max_age_ms`, and all callers pass less than 25 s.
             age_tenths: age_tenths as u8,
             ready: self.ready,
             watch: self.watch,
         })
     }
 
-    /// Takes in what another host has heard of it, if that is newer than what is known here.
+    /// Applies a status reported by another host if it is newer than the known one.
     fn on_told(&mut self, told: &HeardHost, now: Moment) {
         let spoke = now.before(u64::from(told.age_tenths) * 100);
         let is_news = self.heard.is_none_or(|heard| heard < spoke);
@@ -95,12 +97,12 @@
     }
 }
 
-/// The lower half of the hash of a name, which is enough to tell some hundred names apart.
+/// The lower half of the hash of a name; enough to distinguish some hundred names.
 pub(super) fn short_hash(name: &str) -> u32 {
     hash::of_name(name) as u32
 }
 
-/// The lower part of a run's number, which tells it from those shortly before.
+/// The lower bits of a run number; enough to distinguish a run from the ones shortly before it.
 pub(super) const fn run_low(run: u64) -> u16 {
     run as u16
 }
--- a/src/entry/peers/reconcile.rs
+++ b/src/entry/peers/reconcile.rs
@@ -1,7 +1,8 @@
-//! How hosts find out that they know different hosts, and ask for those that they lack.
+//! Finds hosts that other hosts know and this one does not.
 //!
-//! A heartbeat tells how many hosts its sender knows, and some of them by short hashes. Who is told of one that it does not
-//! know, or hears that another knows more, asks that one.
+//! A heartbeat carries the number of hosts that its sender knows and the statuses of some of them
+//! by short hash. A recipient that sees an unknown hash, or a larger count than its own, asks the
+//! sender.
 
 use std::collections;
 
@@ -11,57 +12,59 @@
 use crate::entry::peer_message::{HeardHost, KnownHost, KnownSlice, PeerHeartbeat, WhoIsRequest};
 use crate::timer::Moment;
 
-/// A host that is told of and not known is asked for again after this time, in milliseconds: a heartbeat, so that
-/// a lost datagram costs no more than one.
+/// Interval between requests for the same unknown host, in milliseconds. One heartbeat, so that a
+/// lost datagram delays discovery by no more than that.
 const ASK_AGAIN_MS: u64 = 500;
 
-/// A host that knows fewer than another asks it after this time, in milliseconds, though nobody tells of one that it
-/// lacks: they may differ in one that is gone, and a question takes 1,000 bytes.
+/// Interval between requests to a host of another region that knows more hosts, in milliseconds.
+/// The counts may differ only by a host that is gone, and a request takes 1,000 bytes.
 const COMPARE_MS: u64 = 2_000;
 
-/// Questions in vain before they come more seldom: those that start together know little themselves at first.
+/// Number of consecutive requests without a new host before backoff starts. Hosts that start
+/// together know few others at first.
 const ASKED_AT_FIRST: u32 = 8;
-/// Doublings of the time between two such questions, at most, while nobody new is met by them.
+/// Maximum number of doublings of the request interval.
 const MAX_GAP_DOUBLINGS: u32 = 4;
 
-/// Marks of known hosts that one datagram carries; some 1,000 bytes.
+/// Marks of known hosts in one datagram; about 1,000 bytes.
 const MARKS_PER_DATAGRAM: u32 = 480;
 
-/// Hosts that were heard in this time are told to one that lacks them, in milliseconds: half of the time after which a
-/// silent one is forgotten, so that no two hosts tell each other of a dead one by turns.
+/// Maximum age of a status that is reported to a host that asks, in milliseconds. Half of the
+/// removal timeout, so that two hosts cannot keep reporting a dead host to each other in
+/// alternation.
 const TOLD_AGAIN_MS: u64 = REMOVE_MS / 2;
 
-/// Hosts that one is told of besides those that it asked for, at most: twelve datagrams.
+/// Maximum number of records sent in addition to the requested ones; twelve datagrams.
 const RECORDS_BESIDE: usize = 120;
 
-/// What a host lacks of what another one knows.
+/// Which hosts known to another host are missing here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum KnownLack {
-    /// Nothing, as far as can be seen.
+    /// None, as far as the counts show.
     None,
-    /// Hosts of the other one's region, which that one knows well.
+    /// Hosts of the other host's region, which that host knows well.
     Near,
     /// Hosts of any region.
     Far,
 }
 
-/// What one host has asked others for.
+/// State of the requests for missing hosts.
 #[derive(Debug, Default)]
 pub(super) struct ReconcileState {
-    /// Hosts that were asked for lately, by their short hashes.
+    /// Recently requested hosts, by short hash.
     asked: rustc_hash::FxHashMap<u32, Moment>,
-    /// When another host was last asked for all that this one lacks.
+    /// Time of the last request for all missing hosts.
     asked_all: Option<Moment>,
-    /// How many hosts that one knew.
+    /// Number of hosts that the recipient of that request knew.
     asked_count: u32,
-    /// How often in a row nobody new was met by that.
+    /// Consecutive requests for all missing hosts that led to no new host.
     asked_in_vain: u32,
-    /// How often others were asked for all.
+    /// Number of requests for all missing hosts.
     questions: u32,
 }
 
 impl ReconcileState {
-    /// A host was met that was not known before.
+    /// Resets the backoff because a new host was discovered.
     pub(super) const fn on_new_name(&mut self) {
         self.asked_in_vain = 0;
     }
@@ -73,9 +76,11 @@
 }
 
 impl PeerTable {
-    /// What to ask the sender of a heartbeat for: hosts that it shows to live, itself among them, and that are not known
-    /// here in the run that lives; each once in half a second. Without it hosts that missed each other's first words
-    /// never met: of 40 starts of nine hosts five were not whole after 16 s.
+    /// Builds the request to the sender of a heartbeat for hosts that it reports as alive, itself
+    /// included, and whose current run is unknown here. Each host is requested at most once in half
+    /// a second. Without these requests, hosts that missed each other's first heartbeats never
+    /// discovered each other: in 5 of 40 starts of nine hosts the membership was incomplete after
+    /// 16 s.
     pub fn unknown_hosts(
         &mut self,
         heartbeat: &PeerHeartbeat,
@@ -106,7 +111,7 @@
         asks.then_some(WhoIsRequest { unknown, known })
     }
 
-    /// What this host lacks of what the sender of a heartbeat knows, by the counts of both.
+    /// Which hosts are missing here, judged by the counts in a heartbeat.
     fn lack_beside(&self, heartbeat: &PeerHeartbeat, own_region: &str) -> KnownLack {
         let sender = self.peers.get(&heartbeat.host);
         let near = sender.map_or(0, |sender| {
@@ -123,10 +128,10 @@
         }
     }
 
-    /// Whether to ask the sender of a heartbeat for all that this host lacks: once in a while as long as it meets others
-    /// by that, and ever more seldom when it meets none, since two hosts differ also by a dead one until both have forgotten
-    /// it. A host of the own region that knows more than the last that was asked is asked at once: only between
-    /// regions are bytes dear.
+    /// Whether to ask the sender of a heartbeat for all missing hosts. The request interval grows
+    /// while requests lead to no new host, because the counts also differ by a dead host until both
+    /// sides have forgotten it. A host of the own region that knows more than the last one asked is
+    /// asked at once, since only traffic between regions is expensive.
     fn may_ask_for_all(&self, heartbeat: &PeerHeartbeat, own_region: &str, now: Moment) -> bool {
         let lack = self.lack_beside(heartbeat, own_region);
         let is_near = self.is_of_region(&heartbeat.host, own_region);
@@ -151,7 +156,7 @@
         peer.is_some_and(|peer| peer.record.region == region)
     }
 
-    /// What this host knows, for one that knows `asked_count` hosts and is asked for all others.
+    /// Describes the hosts known here, for a request to a host that knows `target_count` hosts.
     fn known_for_all(&mut self, own_hash: u32, asked_count: u32, now: Moment) -> KnownSlice {
         let state = &mut self.reconcile;
         if state.asked_all.replace(now).is_some() {
@@ -179,8 +184,8 @@
         known.is_some_and(|known| run_low(known.record.run) == told.run_low)
     }
 
-    /// The hosts that another one asks for, `own` among them, and some of those that it lacks besides. Of hosts
-    /// that are not known here there are none.
+    /// The requested hosts, possibly `own` among them, and some others that the requester is
+    /// missing. Hosts unknown here are left out.
     #[must_use]
     pub fn records_for(
         &self,
@@ -204,7 +209,7 @@
         known.chain(own).collect()
     }
 
-    /// Hosts that live and that the asker knows nothing of.
+    /// Recently seen hosts that the requester does not know.
     fn lacking<'a>(
         &'a self,
         request: &'a WhoIsRequest,
@@ -225,7 +230,8 @@
     }
 }
 
-/// Two bytes that tell some hundred hosts apart within one question; another question takes others.
+/// A two-byte mark that distinguishes some hundred hosts within one request. The salt changes the
+/// collisions from one request to the next.
 fn mark_of(short_hash: u32, salt: u32) -> [u8; 2] {
     let mixed = hash::mix(u64::from(short_hash) << 32 | u64::from(salt));
     [mixed as u8, (mixed >> 8) as u8]
--- a/src/entry/peers/region_size.rs
+++ b/src/entry/peers/region_size.rs
@@ -1,5 +1,6 @@
-//! How many hosts there are, as far as this one knows or was told: limits are divided by their number, and
-//! objects belong to regions by theirs.
+//! Counts hosts by region, from known hosts and from the sizes that other hosts report.
+//!
+//! Limits are divided by the number of hosts, and objects are assigned to regions by region size.
 
 use std::collections;
 
@@ -7,14 +8,15 @@
 use crate::entry::peer_message::RegionSize;
 use crate::timer::Moment;
 
-/// The size of a region that nobody has told again for this long is not gone by any more, in milliseconds:
-/// several times the time in which each host hears from those that know all.
+/// How long a reported region size stays valid, in milliseconds: several times the interval at
+/// which each host receives a report from a host that knows all others.
 const TOLD_SIZE_MS: u64 = 60_000;
-/// The count until all hosts are known: so large that the fixed part of any limit is worth no request. Whatever number
-/// were assumed, in a larger deployment all parts together would exceed the limit.
+/// Host count used until all hosts are known. It is so large that the fixed share of any limit is
+/// worth no request; with a smaller number, the shares of a larger deployment would exceed the
+/// limit in total.
 const UNLISTED_HOSTS: u32 = u32::MAX;
 
-/// How many hosts a region has, as another host knew.
+/// Size of a region as reported by another host.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ToldSize {
     pub(super) hosts: u32,
@@ -22,14 +24,15 @@
 }
 
 impl PeerTable {
-    /// The hosts that are known, this one included.
+    /// Number of known hosts, this one included.
     #[must_use]
     pub fn known_count(&self) -> u32 {
         u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// All hosts that shared limits are divided by, this one included: those that are known, or as many as others told
-    /// lately. A host that has just started and has met few others must not take their parts.
+    /// Number of hosts that share a limit, this one included: the known hosts, or as many as others
+    /// recently reported. A host that has just started and knows few others must not take their
+    /// shares.
     #[must_use]
     pub fn host_count(&self) -> u32 {
         if !self.listed {
@@ -37,16 +40,17 @@
         }
         let told = self.told_sizes.iter().map(|(region, told)| {
             let known = self.region_counts.get(region).copied().unwrap_or(0);
-            // This host may be one of those that others count there.
+            // The reported count may include this host.
             told.hosts.saturating_sub(known + 1)
         });
         let unknown = told.sum::<u32>();
         self.known_count().saturating_add(unknown)
     }
 
-    /// How many hosts each region has: those that are known, `own` included, or as many as another host knew
-    /// lately. Objects belong to regions by these sizes. When each host went by those that it knew itself, 383
-    /// of 3,170 objects met two servers or more within four calm seconds; when all had the store's list, 213.
+    /// Number of hosts in each region: the known hosts, this one included, or the recently reported
+    /// number if that is larger. Objects are assigned to regions by these sizes, so hosts have to
+    /// agree on them. When each host used only its own view, 383 of 3,170 objects were sent to two
+    /// or more servers within four seconds without any change; when all used the store's list, 213.
     #[must_use]
     pub fn hosts_by_region(&self, own_region: &str) -> collections::BTreeMap<String, u32> {
         let mut counts = self.region_counts.clone();
@@ -58,7 +62,7 @@
         counts
     }
 
-    /// Another host tells how many hosts each region has.
+    /// Applies region sizes reported by another host.
     pub fn on_told_sizes(&mut self, sizes: &[RegionSize], now: Moment) {
         for size in sizes {
             self.on_told_size(&size.region, size.hosts, now);
@@ -74,15 +78,15 @@
         }
     }
 
-    /// Hosts that are known in `region`, `own` included.
+    /// Number of known hosts in `region`, plus this host.
     #[must_use]
     pub fn region_size(&self, region: &str) -> u32 {
         self.region_counts.get(region).copied().unwrap_or(0) + 1
     }
 
-    /// The size of `region` that others are told: the hosts that are known there, or, by a host that has just
-    /// started and met few, what it was told itself; 0 when it was told nothing. Once it knows all hosts it
-    /// tells what it knows: sizes that are passed on and on would never shrink.
+    /// The size of `region` to report to others: the known hosts, or, on a host that has just
+    /// started, the larger size reported to it; 0 if none was reported. Once a host knows all
+    /// others it reports only its own count, because relayed sizes would never shrink.
     #[must_use]
     pub fn told_region_size(&self, region: &str) -> u32 {
         if self.listed {
