--- a/src/entry/peers/keepers.rs
+++ b/src/entry/peers/keepers.rs
@@ -1,9 +1,8 @@
-//! Which hosts keep an entry in the store, and how hosts are forgotten.
+//! Selects the hosts that register in the store, and forgets hosts that are gone.
 //!
-//! **Load pattern.** Each call of the store is paid for, and hundreds of hosts that return at once would
-//! each make, find, read and replace an entry. The store's entries are there only so that a host that
-//! knows nobody finds someone. So a few hosts of each hall keep one; all others are known by what hosts
-//! tell each other.
+//! **Load pattern.** Each call of the store is paid for, and hundreds of hosts that return at once
+//! would each create, find, read and replace an entry. The entries only have to let a new host find
+//! some other host, so a few hosts of each hall register; all others are known through gossip.
 
 use std::collections;
 
@@ -11,15 +10,16 @@
 use crate::entry::peer_message::GoneHost;
 use crate::timer::Moment;
 
-/// Hosts of a hall that keep an entry: two may be lost at the same moment, and one is still found. When a
-/// whole hall or region is lost, the entries of the others are there; when all hosts are, they return to
-/// the same addresses, and their entries are still there.
+/// Hosts per hall that register in the store. With three, two may fail at the same moment and one
+/// is still found. If a whole hall or region is lost, the entries of the others remain; if all
+/// hosts are lost, they return at the same addresses and their entries remain.
 pub const ENTRY_KEEPERS: usize = 3;
-/// A host of another region that was not heard for this long is forgotten, in milliseconds. Each
-/// heartbeat goes to two hosts of other regions, so in a fleet of 470 hosts one is heard of every 80 s.
+/// A host of another region not seen for this long is forgotten, in milliseconds. Each heartbeat
+/// goes to two hosts of other regions, so in a fleet of 470 hosts a given one is seen about every
+/// 80 s.
 const FAR_REMOVE_MS: u64 = 600_000;
 
-/// What is known of a host's entry in the store.
+/// A host's entry in the store.
 #[derive(Debug)]
 pub(super) struct HostEntry {
     run: u64,
@@ -27,7 +27,7 @@
 }
 
 impl PeerTable {
-    /// Whether `own` is one of the hosts of its hall that keep an entry in the store.
+    /// Whether `own` is one of the hosts of its hall that register in the store.
     #[must_use]
     pub fn keeps_entry(&self, own: &HostRecord, now: Moment) -> bool {
         let silent_ms = self.silent_ms(&own.region);
@@ -39,7 +39,8 @@
         before.count() < ENTRY_KEEPERS
     }
 
-    /// Where hosts of `own`'s hall that probably keep an entry can be asked: the first by size and name.
+    /// Peer addresses of the hosts in the hall of `own` that are probably registered: the first by
+    /// size and name hash.
     #[must_use]
     pub fn hall_keepers(&self, own: &HostRecord) -> Vec<std::net::SocketAddr> {
         let near = self.near(&own.region).map(|peer| &peer.record);
@@ -49,7 +50,7 @@
         keepers.map(|record| record.peer_address).collect()
     }
 
-    /// Forgets the hosts that were silent for long, and returns those of `region`.
+    /// Forgets hosts that were not seen for too long, and returns those of `region`.
     pub fn forget_silent(&mut self, region: &str, now: Moment) -> Vec<GoneHost> {
         let silent_for = |peer: &super::PeerEntry| now.since(peer.heard.unwrap_or(peer.met));
         let is_over = |peer: &super::PeerEntry| {
@@ -69,9 +70,10 @@
         .collect()
     }
 
-    /// The entries of hosts as the store has just listed them. A hall with fewer than it may keep has no other
-    /// hosts; if that is so of each, all hosts are known. No entries at all prove nothing before another host is known:
-    /// those that start together write theirs later.
+    /// Applies the complete list of host entries from the store. A hall with fewer than
+    /// [`REGISTERED_HOSTS_PER_HALL`] entries has no other hosts; if that holds for every hall, all
+    /// hosts are known. An empty list proves nothing while no other host is known, because hosts
+    /// that start together register later.
     pub fn on_entries(&mut self, records: &[HostRecord]) {
         self.entries_read = true;
         self.entries.clear();
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The entry of this run of a host stands in the store.
+    /// Records that the store has an entry for this run of a host.
     pub fn on_entry(&mut self, record: &HostRecord) {
         let entry = HostEntry {
             run: record.run,
@@ -95,15 +97,15 @@
         self.entries.insert(record.name.clone(), entry);
     }
 
-    /// The entry of a host's run is gone from the store.
+    /// Records that the entry of this run of a host is gone from the store.
     pub fn on_entry_gone(&mut self, name: &str, run: u64) {
         if self.entries.get(name).is_some_and(|entry| entry.run <= run) {
             self.entries.remove(name);
         }
     }
 
-    /// The entries of `own`'s region, as far as this host has seen them in the store, whose hosts were
-    /// silent for so long that they are forgotten.
+    /// Entries in the region of `own` whose hosts are already forgotten, as far as this host has
+    /// seen them in the store.
     #[must_use]
     pub fn abandoned_entries(&self, own: &HostRecord) -> Vec<GoneHost> {
         let near = self.entries.iter();
--- a/src/entry/peers/suspect_keepers.rs
+++ b/src/entry/peers/suspect_keepers.rs
@@ -1,4 +1,4 @@
-//! Which hosts count the first ends of servers under a request.
+//! Selects the hosts that track the first server crashes under a request.
 
 use std::net;
 
@@ -8,9 +8,9 @@
 use crate::timer::Moment;
 
 impl PeerTable {
-    /// Where the `count` hosts are that a request's fingerprint names: of those that live the first by a hash
-    /// of host and request (rendezvous hashing; Thaler and Ravishankar, 1998). Hosts that know the same others
-    /// name the same ones, but for the host that asks.
+    /// Addresses of the `count` hosts that track a fingerprint: the first live hosts by a hash of
+    /// host and fingerprint (rendezvous hashing; Thaler and Ravishankar, 1998). Hosts that know the
+    /// same peers select the same trackers, except that each leaves itself out.
     #[must_use]
     pub fn suspect_keepers(
         &self,
@@ -27,7 +27,7 @@
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Whether `own` is the first of them all.
+    /// Whether `own` ranks first among all live hosts for this fingerprint.
     #[must_use]
     pub fn is_first_keeper(
         &self,
--- a/src/entry/peers/watchers.rs
+++ b/src/entry/peers/watchers.rs
@@ -1,8 +1,9 @@
-//! Which hosts of a region watch the store.
+//! Selects the hosts of a region that watch the store.
 //!
-//! Every call of the store is paid for, so a few hosts of each region watch it and pass on what
-//! they see. All hosts put themselves into one order, and who comes first is a watcher: nobody is
-//! elected, and when one falls silent or loses the store the next takes over by itself.
+//! Each call of the store is paid for, so a few hosts of each region watch it and forward the
+//! changes. All hosts rank the hosts of their region in the same way, and the first ones watch.
+//! There is no election: when a watcher is no longer seen or cannot reach the store, the next host
+//! takes over.
 
 use std::{cmp, collections};
 
@@ -11,16 +12,16 @@
 use crate::entry::peer_message::WatchState;
 use crate::timer::Moment;
 
-/// Hosts of a region that watch the store. A second one sees what the first may miss.
+/// Hosts of a region that watch the store. The second one covers changes that the first misses.
 pub const WATCHERS: usize = 2;
-/// Hosts of a region that ask the store at most, however many of those before them cannot reach it:
-/// when the store is away for all, the others wait for word of these. When it turns away a third of
-/// the hosts, at least one of six is served with a probability of 0.998.
+/// Maximum number of hosts of a region that call the store, however many hosts ranked before them
+/// cannot reach it. During an outage of the store, the others wait for updates from these. If the
+/// store refuses a third of the hosts, at least one of six is served with a probability of 0.998.
 const MOST_WATCHERS: usize = 6;
 
 impl PeerTable {
-    /// Whether `own` is one of the hosts of its region that watch the store: fewer than
-    /// [`WATCHERS`] hosts come before it that live and do not say that the store is lost to them.
+    /// Whether `own` watches the store for its region: fewer than [`WATCHERS_PER_REGION`] hosts
+    /// rank before it that may be alive and do not report that they cannot reach the store.
     #[must_use]
     pub fn is_watcher(&self, own: &HostRecord, now: Moment) -> bool {
         let silent_ms = self.silent_ms(&own.region);
@@ -36,13 +37,13 @@
 }
 
 impl PeerTable {
-    /// Whether `own` comes before all hosts of its region that live: it clears up for them.
+    /// Whether `own` ranks before all live hosts of its region and thus does the region's cleanup.
     #[must_use]
     pub fn is_first_watcher(&self, own: &HostRecord, now: Moment) -> bool {
         self.first_watcher(own, now).is_none()
     }
 
-    /// The first host of the region of `own` that lives; `None` if that is `own`.
+    /// The first live host by rank in the region of `own`; `None` if that is `own`.
     #[must_use]
     pub fn first_watcher(&self, own: &HostRecord, now: Moment) -> Option<&HostRecord> {
         let silent_ms = self.silent_ms(&own.region);
@@ -55,7 +56,7 @@
         records.min_by_key(|record| record.watch_order())
     }
 
-    /// The regions of which a host has lately been heard, but for `region`.
+    /// The regions except `region` that have a recently seen host.
     #[must_use]
     pub fn other_live_regions(&self, region: &str, now: Moment) -> collections::BTreeSet<&str> {
         let live = self.peers.values().filter(|peer| {
@@ -66,7 +67,7 @@
 }
 
 impl HostRecord {
-    /// The order in which hosts of a region watch the store: the larger first, then by a hash.
+    /// The order in which hosts of a region watch the store: larger hosts first, then by name hash.
     pub(super) fn watch_order(&self) -> (cmp::Reverse<u32>, u64) {
         (
             cmp::Reverse(self.processor_milli),
