--- a/src/entry/peers/targets.rs
+++ b/src/entry/peers/targets.rs
@@ -1,8 +1,8 @@
-//! Where a host's datagrams go.
+//! Selects the recipients of a host's datagrams.
 //!
-//! What a host sends must not grow with the number of hosts, and bytes between regions are paid
-//! for. So heartbeats go to a few hosts, whose word goes round; only what a whole region needs at
-//! once goes to all of it.
+//! The traffic of a host must not grow with the number of hosts, and traffic between regions is
+//! paid for. Heartbeats therefore go to a few hosts and spread by gossip; only messages that a
+//! whole region needs at once go to all of it.
 
 use std::{cmp, net};
 
@@ -14,40 +14,41 @@
 use crate::entry::peer_message::WatchState;
 use crate::timer::Moment;
 
-/// Hosts of the own region that each heartbeat goes to, at most. With eight, the word of a host has
-/// reached 80 others after two rounds and 470 after three (Demers et al., 1987).
+/// Maximum number of hosts of the own region that each heartbeat goes to. With eight, a status has
+/// reached 80 other hosts after two rounds and 470 after three (Demers et al., 1987).
 pub const NEAR_TARGETS: usize = 8;
-/// Hosts that are told at first of a new configuration: what a watcher on a link of 10 Mbit/s can
-/// send a few of within a tenth of a second.
+/// Number of hosts to which a new configuration is first announced. A watcher on a link of 10
+/// Mbit/s can send the configuration to a few of them within a tenth of a second.
 const ANNOUNCE_TARGETS: usize = 16;
-/// Hosts of each other region that pass word of hosts on: one may be lost, or its datagram.
+/// Hosts of each other region that relay host updates. With two, one host or datagram may be lost.
 const RELAY_TARGETS: usize = 2;
-/// Hosts of each other region that are told when a host is among the first to serve after a start: one
-/// is enough there, and some may not have started yet.
+/// Hosts of each other region that a host notifies when it is among the first to serve after a
+/// start. One would be enough, but some may not have started yet.
 const START_TARGETS: usize = 3;
-/// Hosts of other regions that each heartbeat goes to.
+/// Number of hosts of other regions that each heartbeat goes to.
 const FAR_TARGETS: usize = 2;
-/// Hosts of each other hall that pass news of servers on to their hall: one may have ended a moment ago.
+/// Hosts of each other hall that relay fleet updates to their hall. With two, one of them may have
+/// just crashed.
 pub const NEWS_RELAYS: usize = 2;
 
-/// Where news of servers goes.
+/// Recipients of a fleet update.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct NewsTargets {
-    /// Hosts that keep it.
+    /// Hosts that only apply the update.
     pub direct: Vec<net::SocketAddr>,
-    /// Hosts that pass it on to the others of their hall.
+    /// Hosts that also relay the update to the others of their hall.
     pub relays: Vec<net::SocketAddr>,
 }
 
 impl PeerTable {
-    /// Where a heartbeat goes in the own region: to some hosts, by whom the others hear of this one.
+    /// Random hosts of the own region that a heartbeat goes to. The others learn of it by gossip.
     #[must_use]
     pub fn near_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         self.near_addresses(region)
             .choose_multiple(random, NEAR_TARGETS)
     }
 
-    /// Where it goes in other regions: to a few, by whom news travels on.
+    /// Random hosts of other regions that a heartbeat goes to. The others learn of it by gossip.
     #[must_use]
     pub fn far_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let peers = self.peers.values();
@@ -56,7 +57,8 @@
         far.choose_multiple(random, FAR_TARGETS)
     }
 
-    /// Where word goes that those who get it tell on: to some hosts of the own region and a few of others.
+    /// Recipients of a message that spreads by gossip: some hosts of the own region and a few of
+    /// others.
     #[must_use]
     pub fn word_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let mut targets = self.near_targets(region, random);
@@ -64,16 +66,16 @@
         targets
     }
 
-    /// Where word goes that all hosts of a region need at once; those of other regions have it
-    /// from their own watchers, or ask when a heartbeat shows that they lack it.
+    /// Recipients of a message that the whole region needs at once. Other regions get it from their
+    /// own watchers, or ask when a heartbeat shows that they are behind.
     #[must_use]
     pub fn all_near(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let far = self.far_targets(region, random);
         self.near_addresses(region).chain(far).collect()
     }
 
-    /// Where word of a new configuration goes at first. In a large region those who have fetched
-    /// it pass the word on, so that not all fetch from one host.
+    /// First recipients of the announcement of a new configuration. In a large region, hosts that
+    /// have fetched the configuration announce it further, so that not all fetch from one host.
     #[must_use]
     pub fn some_near(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let near = self.near_addresses(region);
@@ -83,8 +85,8 @@
             .collect()
     }
 
-    /// Where a host that is among the first to serve after a start says so: its region, and the largest
-    /// hosts of each other one, who pass it on there.
+    /// Recipients of the announcement of a host that is among the first to serve after a start: its
+    /// region, and the largest hosts of each other region, which relay it there.
     #[must_use]
     pub fn start_targets(&self, region: &str) -> Vec<net::SocketAddr> {
         let mut far: Vec<_> = self
@@ -98,14 +100,14 @@
         self.near_addresses(region).chain(far).collect()
     }
 
-    /// All hosts of a region.
+    /// All known hosts of a region.
     #[must_use]
     pub fn region_targets(&self, region: &str) -> Vec<net::SocketAddr> {
         self.near_addresses(region).collect()
     }
 
-    /// Some hosts of each region but `region` that pass word on there: the largest that were heard, else
-    /// the largest that are known.
+    /// Hosts of each region except `region` that relay updates there: the largest that were seen
+    /// recently, else the largest that are known.
     #[must_use]
     pub fn relay_targets(&self, region: &str, now: Moment) -> Vec<net::SocketAddr> {
         let mut far: Vec<_> = self.peers.values().collect();
@@ -120,15 +122,15 @@
         far.map(|peer| peer.record.heartbeat_address).collect()
     }
 
-    /// Whether word that goes to [`Self::some_near`] does not reach the whole region.
+    /// Whether [`Self::announce_targets`] leaves out part of the region.
     #[must_use]
     pub fn must_pass_on(&self, region: &str) -> bool {
         self.near(region).count() > ANNOUNCE_TARGETS
     }
 
-    /// Where news of servers goes that `own` has seen in the store: to its part of the region, since
-    /// the other watchers of the region see the same. A host that misses news of a watcher that
-    /// falls silent hears of it by heartbeats.
+    /// Recipients of a host update that `own` has observed in the store. Each watcher of the region
+    /// observes the same changes and sends to its share of the region. Hosts that miss an update
+    /// because their watcher fails catch up after a heartbeat.
     #[must_use]
     pub fn news_targets(&self, own: &HostRecord, now: Moment) -> Vec<net::SocketAddr> {
         let watchers = self.watcher_hashes(&own.region, now);
@@ -143,9 +145,11 @@
         targets.map(|peer| peer.record.heartbeat_address).collect()
     }
 
-    /// Where news of servers goes that `own` has seen in the store: each hall of the region is told by one of the region's
-    /// watchers, by two of its hosts, who pass it on. Bytes between halls are paid for, and each change concerns every
-    /// host: told to each of them by a watcher, they would grow with changes times hosts.
+    /// Recipients of a fleet update that `own` has observed in the store. Each hall of the region
+    /// is assigned to one watcher, which sends to two hosts of the hall that relay the update.
+    /// Traffic between halls is paid for and every host needs each change: if watchers sent to
+    /// every host, the traffic between halls would grow with the number of changes times the number
+    /// of hosts.
     #[must_use]
     pub fn fleet_news_targets(&self, own: &HostRecord, now: Moment) -> NewsTargets {
         let watchers = self.watcher_hashes(&own.region, now);
@@ -178,7 +182,7 @@
         targets
     }
 
-    /// The other hosts of the hall of `own`.
+    /// The other hosts in the hall of `own`.
     #[must_use]
     pub fn hall_targets(&self, own: &HostRecord) -> Vec<net::SocketAddr> {
         let near = self.near(&own.region);
@@ -186,8 +190,8 @@
         addresses(hall).collect()
     }
 
-    /// Another host to ask than `source`, which does not answer: a live one of the own region, else of
-    /// any other.
+    /// A random host to fetch from when `source` does not answer: a live one of the own region,
+    /// else of another.
     #[must_use]
     pub fn other_source(
         &self,
@@ -206,7 +210,7 @@
         other.map(|peer| peer.record.peer_address)
     }
 
-    /// Hashes of the names of the other hosts of `region` that watch the store now.
+    /// Name hashes of the other hosts of `region` that currently watch the store.
     fn watcher_hashes(&self, region: &str, now: Moment) -> Vec<u64> {
         let silent_ms = self.silent_ms(region);
         let watchers = self
