--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -1,7 +1,8 @@
-//! The datagrams between entry hosts: heartbeats, and the news of those that watch the store.
+//! Sends and receives the datagrams between entry hosts: heartbeats and updates.
 //!
-//! Only a few hosts of each region watch the store; they pass on what they see. Each heartbeat
-//! tells how current its host is, so that one that missed a datagram finds out and catches up.
+//! Only a few hosts of each region watch the store; they forward the changes as updates. Each
+//! heartbeat carries the versions of its sender's state, so that a host that missed an update
+//! notices it and catches up.
 
 use std::{cell, net, rc, time};
 
@@ -24,23 +25,23 @@
 use crate::result_code::ResultCode;
 use crate::timer::Moment;
 
-/// The time between two heartbeats: four of them fit into the time after which a silent host is
-/// not named to callers any more.
+/// Interval between heartbeats. Four of them fit in the timeout after which a host is no longer
+/// advertised to callers.
 const HEARTBEAT: time::Duration = time::Duration::from_millis(500);
-/// Every so many heartbeats carry the host's whole record.
+/// Every n-th heartbeat carries the host's whole record.
 const RECORD_EVERY: u64 = 4;
 
-/// What a host that knows no other tells as the number of hosts that it knows.
+/// The `known_hosts` count of a host that knows no other host.
 const KNOWS_ITSELF: u32 = 1;
 
-/// The socket for datagrams, and news of which some parts are still missing.
+/// The UDP socket, and the fleet updates of which some fragments are still missing.
 #[derive(Debug, Default)]
 pub struct PeerSocket {
     socket: cell::OnceCell<rc::Rc<UdpSocket>>,
     partial: cell::RefCell<PartialNewsList>,
 }
 
-/// Starts the tasks that speak to other hosts.
+/// Starts the tasks that communicate with other hosts.
 ///
 /// # Errors
 /// `AddressInvalid` when the heartbeat port cannot be bound.
@@ -62,7 +63,7 @@
     UdpSocket::from_std(socket)
 }
 
-/// Tells the hosts of this region, and a few others, the present state at once.
+/// Sends a heartbeat with the current state to all hosts of this region and a few others.
 pub fn announce<W: WireProtocol>(host: &EntryHost<W>) {
     let message = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
     let targets = {
@@ -73,7 +74,7 @@
     send(host, &message, &targets);
 }
 
-/// Tells some hosts of this region that there is a new configuration.
+/// Announces a new configuration to some hosts of this region.
 pub fn announce_configuration<W: WireProtocol>(host: &EntryHost<W>) {
     let targets = {
         let mut random = host.random.borrow_mut();
@@ -87,7 +88,7 @@
     );
 }
 
-/// Passes the word of a fetched configuration on, where those who announced it told only some.
+/// Announces a fetched configuration further if the region is too large for the first announcement.
 pub fn pass_on_configuration<W: WireProtocol>(host: &EntryHost<W>) {
     let must_pass_on = host.peers.borrow().must_pass_on(&host.settings().region);
     if must_pass_on {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Passes on changes of servers that were seen in the store.
+/// Sends server changes that this host observed in the store.
 pub fn pass_on_fleet<W: WireProtocol>(
     host: &EntryHost<W>,
     since: u64,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Servers that are gone, with how much longer this host keeps them.
+/// Converts IDs of gone servers to messages with the rest of each server's retention.
 fn gone_servers<W: WireProtocol>(
     host: &EntryHost<W>,
     ids: Vec<String>,
@@ -156,7 +157,7 @@
         Ok(bytes) => {
             host.metrics.borrow_mut().peer_bytes_sent += (bytes.len() * targets.len()) as u64;
             for target in targets {
-                // A lost datagram is made good by the next heartbeat.
+                // The next heartbeat makes up for a lost datagram.
                 let _sent = socket.try_send_to(&bytes, *target);
             }
         }
@@ -164,8 +165,9 @@
     }
 }
 
-/// Tells all hosts of this region, and some of each other one, that this host can serve, when it is one
-/// of the first after a start: those that wait then ask it. The seeds may start last.
+/// Announces that this host can serve, if it is one of the first after a start: hosts that wait for
+/// state then ask it. Seeds may start later than other hosts. Goes to all hosts of this region and
+/// some of each other region.
 pub(super) fn announce_start<W: WireProtocol>(host: &EntryHost<W>) {
     let has_read = host.peers.borrow().has_read_entries();
     let is_due = host.is_ready() && host.is_starting() && has_read;
@@ -181,7 +183,8 @@
     host.join.on_met(host.record());
 }
 
-/// Tells some hosts at once of this one, which can serve now: by them look-ups learn of it.
+/// Sends a heartbeat with this host's record at once, so that lookups soon return this host, which
+/// can serve now.
 pub(super) fn introduce<W: WireProtocol>(host: &EntryHost<W>) {
     beat_once(host, true);
 }
@@ -215,7 +218,8 @@
     send(host, &PeerMessage::Heartbeat(Box::new(far_heartbeat)), &far);
 }
 
-/// Tells the seeds of this host, which knows no other. It may have been served by the store before it asked any.
+/// Sends a heartbeat to the seeds while this host knows no other host. The store may have answered
+/// before this host asked any seed.
 fn greet_seeds<W: WireProtocol>(host: &EntryHost<W>) {
     let settings = host.settings();
     let seeds = settings.other_seeds();
@@ -302,7 +306,7 @@
     catch_up::on_heartbeat(host, heartbeat);
 }
 
-/// Passes news of servers on to the own hall, if a watcher of another hall asks for it.
+/// Relays a fleet update to the other hosts of this hall if a watcher of another hall requests it.
 fn relay_fleet_news<W: WireProtocol>(
     host: &EntryHost<W>,
     news: FleetNews,
@@ -342,7 +346,8 @@
     let gone = news.gone.iter().map(|server| ObjectChange {
         object: StoredObject {
             name: server.id.clone(),
-            // Its end lies somewhere up to here; who has seen it later than that knows better.
+            // The server ended at this revision or before; an observation at a later revision takes
+            // precedence.
             revision: news.until,
             content: ObjectContent::Unreadable(String::new()),
         },
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -1,4 +1,5 @@
-//! What hosts tell each other of hosts: who came, who is gone, and the records of those that one lacks.
+//! Exchanges host records between hosts: hosts that joined or are gone, and records that one host
+//! is missing.
 
 use std::net;
 
@@ -10,19 +11,20 @@
 use super::peers::HostRecord;
 use super::wire::WireProtocol;
 
-/// Hosts that one datagram tells of: a record takes some 100 bytes.
+/// Host records per datagram. A record takes about 100 bytes.
 const HOSTS_PER_DATAGRAM: usize = 10;
-/// Hosts that are greeted of those that one datagram told of. When all were, with all that was heard, and each question brought
-/// a list of the known hosts along, 300 hosts sent 52 MB between regions in place of 28 (a play each).
+/// Hosts that get an introduction per received datagram of records. When all got one with all
+/// recent statuses, and each request carried a list of the known hosts, 300 hosts sent 52 MB
+/// between regions instead of 28 MB.
 const GREETED_PER_DATAGRAM: usize = 5;
 
-/// Passes on which entry hosts came or went, as seen in the store.
+/// Sends host changes that this host observed in the store.
 pub(super) fn pass_on_hosts<W: WireProtocol>(host: &EntryHost<W>, news: HostNews) {
     gossip::send(host, &PeerMessage::Hosts(news), &gossip::news_targets(host));
 }
 
-/// Tells the own region, and some hosts of each other one that pass it on, of hosts that came or went and
-/// that the store does not tell of.
+/// Sends host changes that the store does not report to this region and, through relays, to each
+/// other region.
 pub(super) fn spread_hosts<W: WireProtocol>(
     host: &EntryHost<W>,
     joined: &[HostRecord],
@@ -53,13 +55,13 @@
     }
 }
 
-/// What the datagram of this number tells of.
+/// The items that go into the datagram with this number.
 fn part_of<T>(all: &[T], round: usize) -> &[T] {
     let mut parts = all.chunks(HOSTS_PER_DATAGRAM);
     parts.nth(round).unwrap_or_default()
 }
 
-/// Asks a host for those that it told of and that are not known here.
+/// Asks the sender of a heartbeat for the hosts that it reports and that are unknown here.
 pub(super) fn ask_who<W: WireProtocol>(
     host: &EntryHost<W>,
     heartbeat: &PeerHeartbeat,
@@ -88,12 +90,12 @@
     }
 }
 
-/// Meets the hosts that this one has asked for, and lets some of those hear of it that it had not met. All others hear of it
-/// by these.
+/// Adds the requested hosts, and introduces this host to some of those that are new. All others
+/// learn of it through these.
 pub(super) fn on_who<W: WireProtocol>(host: &EntryHost<W>, known: &[KnownHost]) {
     let records: Vec<HostRecord> = known.iter().map(|known| known.record.clone()).collect();
     let peers = host.peers.borrow();
-    // A host that has started again is told of this one as it joins.
+    // A host that has restarted learns of this one when it joins.
     let new = records
         .iter()
         .filter(|record| peers.run_of(&record.name) == 0);
@@ -129,8 +131,8 @@
     }
 }
 
-/// The entry of a run of a host is gone from the store. If it is this run's, the others took it for
-/// dead while it was silent: the entry is written again.
+/// Handles the removal of a host's entry from the store. If the entry belongs to this run of this
+/// host, the others took it for dead while they did not see it, and it is written again.
 pub(super) fn on_host_gone<W: WireProtocol>(host: &EntryHost<W>, gone: &GoneHost) {
     if gone.name == host.settings().name {
         host.on_own_entry_gone(gone.run);
@@ -139,7 +141,7 @@
     host.peers.borrow_mut().on_removed(&gone.name, gone.run);
 }
 
-/// Meets hosts that others or the store name.
+/// Adds hosts reported by other hosts or by the store.
 pub(super) fn learn_hosts<W: WireProtocol>(host: &EntryHost<W>, records: &[HostRecord]) {
     let now = host.now();
     let own = host.settings().name.clone();
