--- a/src/entry/peer_message.rs
+++ b/src/entry/peer_message.rs
@@ -1,7 +1,7 @@
-//! What entry hosts say to each other, and how it is written.
+//! Messages between entry hosts, and their encoding.
 //!
-//! The form is postcard behind one byte that numbers the format: a heartbeat is a third of its JSON,
-//! and bytes between halls and regions are paid for.
+//! A message is one byte with the format number followed by postcard. A heartbeat takes a third of
+//! its size in JSON, and traffic between halls and regions is paid for.
 
 use super::configuration::ServiceConfiguration;
 use super::limits::message::LimitMessage;
@@ -12,22 +12,22 @@
 use super::server_limit::message::{LimitWord, ServerLimitMessage};
 use crate::rollout::message::{RolloutNews, RolloutReport};
 
-/// The number of the format. Hosts pass over messages of another one, so that two versions of the
-/// program can run side by side while it is replaced.
+/// The format number. Hosts ignore messages with another number, so that two versions of the
+/// program can run side by side during an upgrade.
 const FORMAT: u8 = 9;
 
-/// Why a message of another host could not be understood.
+/// Why a message of another host could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerFormatError {
-    /// It begins with the number of another format, or is empty.
-    #[error("the message is of another format")]
+    /// The message is empty or starts with another format number.
+    #[error("unsupported message format")]
     OtherFormat,
-    /// Its bytes are not what the format says.
+    /// The bytes do not follow the format.
     #[error("the message is malformed: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
-/// Writes a message for another host.
+/// Encodes a message for another host.
 ///
 /// # Errors
 /// `Malformed` when a value cannot be written.
@@ -43,7 +43,7 @@
     Ok(postcard::to_extend(message, vec![FORMAT])?)
 }
 
-/// Reads a message of another host.
+/// Decodes a message of another host.
 ///
 /// # Errors
 /// `OtherFormat` or `Malformed`.
@@ -54,86 +54,89 @@
     }
 }
 
-/// How a host stands to the store.
+/// Whether a host watches the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum WatchState {
-    /// It leaves the store to others.
+    /// Other hosts watch the store.
     Idle,
-    /// It watches the store.
+    /// The host watches the store.
     Watching,
-    /// It watches, and the store does not answer it.
+    /// The host watches the store but gets no answer.
     Blind,
 }
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum PeerMessage {
-    /// Sent at regular times, and at once when something changes.
+    /// Sent at regular intervals, and at once after a change.
     Heartbeat(Box<PeerHeartbeat>),
     /// Servers have changed.
     Fleet(FleetNews),
-    /// Entry hosts have come or gone.
+    /// Entry hosts have joined or are gone.
     Hosts(HostNews),
-    /// Asks for the records of hosts that the other one has told of.
+    /// Requests the records of hosts that the recipient has reported.
     WhoIs(WhoIsRequest),
-    /// The hosts that were asked for.
+    /// The requested host records.
     Who(Vec<KnownHost>),
     /// Limits of customers.
     Limit(LimitMessage),
-    /// Requests under which servers ended.
+    /// Requests under which servers crashed.
     Quarantine(QuarantineMessage),
-    /// Limits that servers name.
+    /// Limits advertised by servers.
     ServerLimit(ServerLimitMessage),
-    /// Servers that say that they leave, by the hashes of identity and start.
+    /// Servers that have announced their shutdown, by hash of identity and start.
     Leaving(Vec<u64>),
-    /// What a host of this region has counted since an order to move a service's traffic.
+    /// Counts of a host of this region since the start of a rollout.
     RolloutReport(RolloutReport),
-    /// What another region has counted.
+    /// Counts of another region.
     RegionRollout(RolloutReport),
 }
 
-/// What a host tells the others at regular times.
+/// The state that a host sends to others at regular intervals.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct PeerHeartbeat {
     /// The host's name.
     pub host: String,
-    /// The run of its process.
+    /// The run of the host's process.
     pub run: u64,
-    /// Its whole record, in some heartbeats, for hosts that have not met it.
+    /// The host's whole record. Only some heartbeats carry it, for hosts that do not know it yet.
     pub record: Option<HostRecord>,
-    /// Whether it serves callers.
+    /// Whether the host serves callers.
     pub ready: bool,
-    /// Whether it was told to stop.
+    /// Whether the host is shutting down.
     pub leaving: bool,
-    /// How it stands to the store.
+    /// Whether the host watches the store.
     pub watch: WatchState,
-    /// The configuration that it has in force; 0 for none.
+    /// Version of the active configuration; 0 for none.
     pub configuration_version: u64,
-    /// The store's count at the last change of servers that it knows.
+    /// Store revision of the last server change that the host knows.
     pub fleet_changed: u64,
-    /// The store's count at the last change of evacuations that it knows.
+    /// Store revision of the last evacuation change that the host knows.
     pub evacuation_changed: u64,
-    /// The halls that get no work.
+    /// Halls that get no work.
     pub evacuated: Vec<String>,
-    /// What it knows of requests under which servers ended.
+    /// Digest of the requests under which servers crashed.
     pub quarantine: QuarantineDigest,
-    /// Some of what it knows of the limits that servers name, all of it in turn.
+    /// Some of the limits advertised by servers; successive heartbeats go through all of them.
     pub server_limits: Vec<LimitWord>,
-    /// Some of the servers that say that they leave and of which the store does not tell yet, all in turn.
+    /// Some of the leaving servers that the store does not report yet; successive heartbeats go
+    /// through all of them.
     pub leaving_servers: Vec<u64>,
-    /// The orders to move a service's traffic.
+    /// Rollouts that move a service's traffic to another version.
     pub rollouts: RolloutNews,
-    /// How many hosts it knows, itself included: one that knows fewer asks.
+    /// Number of hosts that the sender knows, itself included. A recipient that knows fewer asks
+    /// for the missing ones.
     pub known_hosts: u32,
-    /// How many of them stand in its region.
+    /// Number of known hosts in the sender's region, itself included.
     pub known_near: u32,
-    /// What the host has lately heard of others, itself or from others.
+    /// Recent statuses of other hosts, seen directly or through gossip.
     pub heard: Vec<HeardHost>,
 }
 
 impl PeerHeartbeat {
-    /// The same for hosts of other regions, who need to know of this one's hosts only now and then:
-    /// what was heard of them goes with the host's record. Bytes between regions are dear.
+    /// The heartbeat for hosts of other regions. They need the statuses of this region only
+    /// occasionally, so only heartbeats with a record carry them; traffic between regions is
+    /// expensive.
     #[must_use]
     pub fn for_other_regions(&self) -> Self {
         let mut heartbeat = self.clone();
@@ -144,91 +147,94 @@
     }
 }
 
-/// What one host has heard of another.
+/// Status of a host as seen by another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HeardHost {
-    /// The lower half of a hash of the host's name.
+    /// The lower half of the hash of the host's name.
     pub name_hash: u32,
-    /// The lower part of its run's number, so that an earlier run is not taken for this one.
+    /// The lower bits of the host's run number, so that a status of an earlier run is not applied
+    /// to a later one.
     pub run_low: u16,
-    /// How long ago the host itself said what follows, in tenths of a second.
+    /// Age of the status, counted from when the host itself sent it, in tenths of a second.
     pub age_tenths: u8,
-    /// Whether it serves callers.
+    /// Whether the host serves callers.
     pub ready: bool,
-    /// How it stands to the store.
+    /// Whether the host watches the store.
     pub watch: WatchState,
 }
 
-/// Changes of servers that a watcher has seen, or a part of them.
+/// Server changes observed by a watcher, or one fragment of them.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
 pub struct FleetNews {
-    /// Who says it.
+    /// The host that sends the update.
     pub host: String,
-    /// The store's count at the change before these.
+    /// Store revision before these changes.
     pub since: u64,
-    /// The store's count behind these.
+    /// Store revision after these changes.
     pub until: u64,
-    /// The number of this part, from 0.
+    /// Index of this fragment, from 0.
     pub part: u32,
-    /// How many parts these changes come in.
+    /// Number of fragments of the update.
     pub parts: u32,
-    /// Servers as they stand now.
+    /// Servers that joined or changed, in their current state.
     pub changed: Vec<ServerObject>,
     /// Servers that are gone.
     pub gone: Vec<GoneServer>,
-    /// Whether who gets this passes it on to its hall.
+    /// Whether the recipient relays the update to its hall.
     pub relay: bool,
 }
 
 /// A server whose entry is gone from the store.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct GoneServer {
-    /// The identity of its incarnation.
+    /// ID of the server's incarnation.
     pub id: String,
-    /// For how much longer it is kept, in milliseconds, since its entry may have lapsed. Told for each
-    /// server, so that a host that hears of it late does not keep it for longer than the others.
+    /// Remaining retention of the server, whose entry may only have expired, in milliseconds. Sent
+    /// per server, so that a host that gets the update late does not retain the server longer than
+    /// others do.
     pub hold_ms: u64,
 }
 
-/// Entry hosts that came or went.
+/// Entry hosts that joined or are gone.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HostNews {
-    /// Who came.
+    /// Hosts that joined.
     pub joined: Vec<HostRecord>,
-    /// Those that are gone.
+    /// Hosts that are gone.
     pub gone: Vec<GoneHost>,
-    /// Whether who gets this passes it on to its region.
+    /// Whether the recipient relays the update to its region.
     pub relay: bool,
 }
 
-/// A host asks another for hosts that it does not know.
+/// A request for hosts that the sender does not know.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct WhoIsRequest {
-    /// Those that the other one has told of, by the short hashes of their names.
+    /// Unknown hosts that the recipient has reported, by short hash of the name.
     pub unknown: Vec<u32>,
-    /// What it knows, when it asks for all others as well.
+    /// The hosts that the sender knows, if it asks for all others as well.
     pub known: Option<KnownSlice>,
 }
 
-/// A host as another one knows it.
+/// A host as another host knows it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct KnownHost {
-    /// Its record.
+    /// The host's record.
     pub record: HostRecord,
-    /// When it spoke last, if that is not too long ago: who is told of it can tell others at once.
+    /// The host's status if it was seen recently, so that the recipient can report it further at
+    /// once.
     pub heard: Option<HeardHost>,
 }
 
-/// The hosts that one knows, or a part of them: the list of all may be larger than a datagram.
+/// The hosts that a host knows, or a part of them, since the whole list may exceed a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct KnownSlice {
-    /// Drawn into the marks, so that two hosts have the same in one question at most.
+    /// Salt of the marks, so that two hosts whose marks collide in one request differ in the next.
     pub salt: u32,
-    /// Into how many parts short hashes fall.
+    /// Number of parts into which short hashes are divided.
     pub parts: u32,
-    /// Which of them this is: short hashes with this remainder.
+    /// Index of this part: short hashes with this remainder modulo `parts`.
     pub part: u32,
-    /// Marks of those that are known, made of their short hashes and the salt.
+    /// Marks of the known hosts, computed from their short hashes and the salt.
     pub marks: Vec<[u8; 2]>,
 }
 
@@ -237,57 +243,59 @@
 pub struct GoneHost {
     /// The host's name.
     pub name: String,
-    /// Its run: a later one of the same host may have been met meanwhile.
+    /// The run. A later run of the same host may already be known.
     pub run: u64,
 }
 
-/// Everything that a host can tell another whom the store does not answer.
+/// The whole state that a host hands to another one that cannot read the store.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
 pub struct PeerSnapshot {
-    /// The configuration in force.
+    /// The active configuration.
     pub configuration: Option<ServiceConfiguration>,
     /// The backend servers.
     pub servers: PackedServers,
-    /// Servers that are kept for a moment although their entries are gone.
+    /// Servers that are retained for a while although their entries are gone.
     pub kept: Vec<GoneServer>,
-    /// The store's count up to which the servers are current; 0 when they were never listed.
+    /// Store revision up to which the servers are current; 0 if they were never listed.
     pub fleet_revision: u64,
     /// Halls that get no work.
     pub evacuated: Vec<String>,
-    /// The store's count up to which these halls are current; 0 when they were never listed.
+    /// Store revision up to which the evacuated halls are current; 0 if they were never listed.
     pub evacuation_revision: u64,
     /// The entry hosts.
     pub hosts: Vec<HostRecord>,
-    /// Whether these are all, as far as can be told.
+    /// Whether `hosts` is presumed to be complete.
     pub hosts_listed: bool,
-    /// Requests under which servers ended; `None` when the host that tells has not read the store's yet.
+    /// Requests under which servers crashed; `None` if the sender has not read the store's list
+    /// yet.
     pub suspects: Option<Vec<SuspectRecord>>,
-    /// How many hosts each region has, as far as this one knows.
+    /// Number of hosts in each region, as far as the sender knows.
     pub region_sizes: Vec<RegionSize>,
-    /// The orders to move a service's traffic.
+    /// Rollouts that move a service's traffic to another version.
     pub rollouts: RolloutNews,
 }
 
-/// How many entry hosts a region has.
+/// Number of entry hosts in a region.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RegionSize {
-    /// The region.
+    /// The region's name.
     pub region: String,
-    /// Its hosts.
+    /// The number of hosts.
     pub hosts: u32,
 }
 
-/// The fastest level that finds repeated strings, of 10.
+/// The fastest of 10 compression levels that finds repeated strings.
 const PACKING_LEVEL: u8 = 1;
-/// The largest snapshot that is unpacked, in bytes: some thousand servers and ten thousand routes.
+/// Maximum size of an unpacked snapshot, in bytes. Fits some thousand servers and ten thousand
+/// routes.
 const MAX_UNPACKED_BYTES: usize = 16 << 20;
 
-/// A snapshot, compressed: between regions each window of it that is sent takes a way there and back.
+/// A compressed snapshot. Between regions, each congestion window of data costs a round trip.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct PackedSnapshot(Vec<u8>);
 
 impl PackedSnapshot {
-    /// Writes and compresses a snapshot.
+    /// Encodes and compresses a snapshot.
     ///
     /// # Errors
     /// `Malformed` when it cannot be written.
@@ -307,7 +315,7 @@
         )))
     }
 
-    /// The snapshot; `None` for bytes that are none.
+    /// Decompresses and decodes the snapshot; `None` if the bytes are malformed.
     #[must_use]
     pub fn snapshot(&self) -> Option<PeerSnapshot> {
         let unpack = miniz_oxide::inflate::decompress_to_vec_with_limit;
@@ -316,11 +324,11 @@
     }
 }
 
-/// What a host that starts is told by one that it asked.
+/// Answer to the join request of a host that starts.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum JoinAnswer {
-    /// Everything.
+    /// The whole state.
     Snapshot(PackedSnapshot),
-    /// To ask this host instead, who knows it too or will in a moment.
+    /// The address of another host to ask, which has the state or will have it shortly.
     Ask(std::net::SocketAddr),
 }
