--- a/src/entry/news_part.rs
+++ b/src/entry/news_part.rs
@@ -1,4 +1,4 @@
-//! News of servers, cut into parts that fit into one datagram each.
+//! Splits server changes into fragments of one datagram each.
 
 use std::collections;
 
@@ -6,18 +6,18 @@
 use super::server::ServerObject;
 use super::store::{ObjectChange, ObjectContent};
 
-/// The largest datagram that fits into one packet of the usual networks, in bytes.
+/// Maximum size of a datagram, in bytes. Fits in one packet of common networks.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Bytes of a part of news that are left for its frame.
+/// Bytes reserved in each datagram for the rest of the update message.
 const FRAME_BYTES: usize = 300;
 
-/// Bytes that a server that is gone takes beside its identity: the length of that, and for how long
-/// the server is kept.
+/// Bytes that a gone server takes in addition to its ID: the length of the ID and the remaining
+/// retention.
 const GONE_BYTES: usize = 4;
 
-/// Cuts changes into parts; one empty part if there is nothing to tell. Of each server only the
-/// last change counts: a part tells of servers that changed and of those that are gone, and not in
-/// which order.
+/// Splits changes into fragments; returns one empty fragment if there are no changes. Only the last
+/// change of each server is included, because a fragment lists changed and gone servers without
+/// their order.
 #[must_use]
 pub fn parts_of(changes: &[ObjectChange]) -> Vec<NewsPart> {
     let mut parts = vec![NewsPart::default()];
@@ -41,11 +41,11 @@
     parts
 }
 
-/// One server in the news.
+/// One server in an update.
 enum NewsItem {
-    /// It came or changed; with its length in bytes as it is sent.
+    /// The server joined or changed; with its encoded size in bytes.
     Changed(Box<ServerObject>, usize),
-    /// It is gone; its identity.
+    /// The ID of a server that is gone.
     Gone(String),
 }
 
@@ -73,12 +73,12 @@
     }
 }
 
-/// The servers that one datagram tells of.
+/// The servers in one datagram.
 #[derive(Default, Debug)]
 pub struct NewsPart {
-    /// Servers that came or changed.
+    /// Servers that joined or changed.
     pub changed: Vec<ServerObject>,
-    /// The identities of those that are gone.
+    /// IDs of servers that are gone.
     pub gone: Vec<String>,
     bytes: usize,
 }
--- a/src/entry/partial_news.rs
+++ b/src/entry/partial_news.rs
@@ -1,13 +1,13 @@
-//! News of servers that come in several datagrams, until the last part is there.
+//! Tracks fleet updates that arrive in several datagrams until all fragments are received.
 
 use std::collections;
 
 use super::peer_message::FleetNews;
 
-/// Half-received news that are remembered.
+/// Maximum number of incomplete updates that are tracked.
 const MAX_PARTIAL: usize = 64;
 
-/// News of which some parts are still missing, the oldest first.
+/// Fleet updates of which some fragments are still missing, oldest first.
 #[derive(Debug, Default)]
 pub struct PartialNewsList {
     news: collections::VecDeque<PartialNews>,
@@ -17,12 +17,12 @@
 struct PartialNews {
     host: String,
     until: u64,
-    /// The numbers of the parts that came: the network may bring one twice.
+    /// Indexes of the received fragments; the network may deliver one twice.
     parts: collections::BTreeSet<u32>,
 }
 
 impl PartialNewsList {
-    /// A part came; returns whether all parts of its news are there now.
+    /// Records a fragment; returns whether all fragments of its update have arrived.
     ///
     /// ```
     /// use ledgespool::entry::partial_news::PartialNewsList;
