--- a/src/entry/hash.rs
+++ b/src/entry/hash.rs
@@ -1,4 +1,4 @@
-//! Hashes by which all hosts rank servers, hosts and customers alike without talking.
+//! Hashes by which all hosts rank servers, hosts and customers identically without coordination.
 
 use xxhash_rust::xxh3;
 
@@ -8,7 +8,7 @@
     xxh3::xxh3_64(name.as_bytes())
 }
 
-/// Spreads a hash over all its bits: the finalizer of `SplitMix64` (Steele, Lea and Flood, 2014).
+/// Mixes all bits of a hash: the finalizer of `SplitMix64` (Steele, Lea and Flood, 2014).
 ///
 /// ```
 /// use ledgespool::entry::hash;
@@ -21,7 +21,7 @@
     value ^ (value >> 31)
 }
 
-/// A hash as a number above 0 and up to 1, of its upper 53 bits after [`mix`].
+/// Maps a hash to a number greater than 0 and at most 1, from the upper 53 bits after [`mix`].
 #[must_use]
 pub fn uniform(hash: u64) -> f64 {
     ((mix(hash) >> 11) as f64 + 1.0) / (1_u64 << 53) as f64
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -1,8 +1,9 @@
-//! The state of one entry host, shared by the tasks of its one thread.
+//! The state of one entry host, shared by the tasks of its single thread.
 //!
-//! What a host does with one part of its state stands with that part: [`super::evacuation`],
-//! [`super::route_times`], [`super::region_shares`], [`super::host_fleet`], [`super::host_budget`], [`super::stop`], [`super::watch_role`] and
-//! [`super::self_report`]; [`super::lifecycle`] runs it.
+//! Methods that concern one part of the state are in the module of that part:
+//! [`super::evacuation`], [`super::route_times`], [`super::region_shares`], [`super::host_fleet`],
+//! [`super::host_budget`], [`super::stop`], [`super::watch_role`] and [`super::self_report`].
+//! [`super::lifecycle`] starts and stops the host.
 
 use std::{cell, collections, rc};
 
@@ -40,14 +41,15 @@
 use crate::event::EventCode;
 use crate::timer::{self, BootClock, Moment};
 
-/// Between two looks at what is due, which come ten times a second, lies no more than this on a host that runs,
-/// in milliseconds; else it was suspended or frozen, or its processor was taken away.
+/// Minimum time between two ticks that is logged as a stall of the process, in milliseconds. Ticks
+/// are 100 ms apart on a running host; a longer gap means that the host was suspended or frozen, or
+/// got no processor time.
 const STOOD_STILL_MS: u64 = 1_000;
 
 /// The state of one entry host.
 #[derive(Debug)]
 pub struct EntryHost<W> {
-    /// How the platform writes things.
+    /// The platform's wire format.
     pub wire: W,
     /// Structured log.
     pub log: DecisionLog,
@@ -55,31 +57,32 @@
     pub metrics: cell::RefCell<EntryMetrics>,
     /// Known servers.
     pub fleet: cell::RefCell<Fleet>,
-    /// Kept connections to servers.
+    /// Idle connections to servers.
     pub pool: cell::RefCell<ServerPool>,
-    /// How far the regions are.
+    /// Distances between regions.
     pub distances: cell::RefCell<RegionDistances>,
-    /// Other hosts.
+    /// Other entry hosts.
     pub peers: cell::RefCell<PeerTable>,
-    /// The way to them.
+    /// Socket for datagrams to other hosts.
     pub socket: PeerSocket,
-    /// What is being fetched from other hosts.
+    /// Fetches from other hosts that are in progress.
     pub fetches: OpenFetches,
-    /// How this host joined the others, and helps those who join.
+    /// State of this host's own join and of the joins it helps with.
     pub join: JoinState,
-    /// How this host stands to the store.
+    /// Whether this host watches the store.
     pub watch: WatchRole,
-    /// The store's count at which this host's own entry stands, once it is written.
+    /// Store revision of this host's own entry, once it is written.
     pub(super) own_entry: cell::Cell<Option<u64>>,
     /// Source of random choices.
     pub random: cell::RefCell<SmallRng>,
     settings: cell::RefCell<rc::Rc<EntrySettings>>,
     clock: BootClock,
-    /// When what is due was last looked at.
+    /// Time of the last tick.
     last_tick: cell::Cell<Moment>,
     pub(super) run: u64,
     routes: cell::RefCell<Option<rc::Rc<RouteTable>>>,
-    /// When the store, or a host that watches it, last had the same configuration as this one.
+    /// When this host last knew that the store, or a host that watches it, has the same
+    /// configuration.
     configuration_confirmed: cell::Cell<Option<Moment>>,
     pub(super) evacuations: cell::RefCell<EvacuationList>,
     pub(super) retry_windows: cell::RefCell<collections::HashMap<String, RetryWindow>>,
@@ -91,12 +94,12 @@
     pub(super) server_limits: ServerLimitRole,
     pub(super) leaving_news: LeavingNews,
     pub(super) rollouts: RolloutRole,
-    /// The store's era, as this host or another has seen it.
+    /// The store's epoch, as observed by this host or reported by another.
     pub(super) store_era: cell::Cell<u64>,
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// A host that knows nothing yet.
+    /// Creates a host without any knowledge of servers, peers or configuration.
     #[must_use]
     pub fn new(settings: EntrySettings, wire: W, log: DecisionLog) -> Self {
         let run = timer::unix_millis();
@@ -142,25 +145,25 @@
         }
     }
 
-    /// The present moment.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// The settings in force.
+    /// The active settings.
     #[must_use]
     pub fn settings(&self) -> rc::Rc<EntrySettings> {
         rc::Rc::clone(&self.settings.borrow())
     }
 
-    /// The routes in force.
+    /// The active routes.
     #[must_use]
     pub fn routes(&self) -> Option<rc::Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the active configuration; 0 for none.
     #[must_use]
     pub fn configuration_version(&self) -> u64 {
         let routes = self.routes.borrow();
@@ -169,20 +172,21 @@
             .map_or(0, |routes| routes.configuration().version)
     }
 
-    /// Whoever sees the store had the same configuration as this host at `at`.
+    /// Records that the store, or a host that watches it, had the same configuration as this host
+    /// at `at`.
     pub(super) fn on_configuration_confirmed(&self, at: Moment) {
         self.configuration_confirmed.set(Some(at));
     }
 
-    /// How old this host's view of the configuration is, in milliseconds: since then a newer one may be in force
-    /// elsewhere. `None` before it has any.
+    /// Age of this host's view of the configuration, in milliseconds. A newer configuration may
+    /// have become active elsewhere within that time. `None` before the first confirmation.
     #[must_use]
     pub fn configuration_age_ms(&self) -> Option<u64> {
         let confirmed = self.configuration_confirmed.get();
         confirmed.map(|confirmed| self.now().since(confirmed))
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Activates a configuration unless the active one is at least as new.
     pub fn install_configuration(&self, configuration: &ServiceConfiguration, source: &str) {
         if configuration.version <= self.configuration_version() {
             return;
@@ -223,24 +227,24 @@
         }
     }
 
-    /// Writes an important log line.
+    /// Writes a log line of high importance.
     pub fn note(&self, event: EventCode, fields: serde_json::Value) {
         self.log.write(event, LineWeight::Important, fields);
     }
 
-    /// Whether callers may be sent here.
+    /// Whether this host can serve callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.routes.borrow().is_some() && self.fleet.borrow().is_listed()
     }
 
-    /// Writes that what another host said could not be understood.
+    /// Logs that a message of another host could not be decoded.
     pub fn note_malformed(&self, source: &str, fault: &PeerFormatError) {
         let fields = json!({ "source": source, "fault": fault.to_string() });
         self.note(EventCode::HeartbeatMalformed, fields);
     }
 
-    /// The metrics page.
+    /// Renders the metrics page.
     #[must_use]
     pub fn metrics_page(&self) -> String {
         let loss = self.log.loss();
@@ -271,7 +275,7 @@
         fleet.servers().filter(|server| is_counted(server)).count()
     }
 
-    /// Looks after what is due with time.
+    /// Runs the periodic tasks.
     pub(super) fn on_tick(&self) {
         let now = self.now();
         self.note_standstill(now);
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Puts changed settings in force.
+    /// Activates changed settings.
     pub(super) fn install_settings(&self, settings: EntrySettings) {
         if *self.settings.borrow().as_ref() == settings {
             return;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,20 +1,20 @@
-//! The entry host behind a platform: callers in front, backend servers behind, an object store
-//! that tells of configuration and servers.
+//! The entry host: accepts requests of callers and forwards them to backend servers, with its
+//! configuration and list of servers from an object store.
 //!
-//! The module tree is the path of a request. [`listen`] accepts it, [`request`] serves it:
-//! `open_request` reads it and finds its [`configuration`] route, `offers` offers it to the backend
-//! servers that [`choice`] names from the [`fleet`], over the connections of [`pool`], within the
-//! limits of [`budget`]; `request_failure` says what else a caller may hear. [`follow`] keeps
-//! configuration and fleet up to date from an [`store::ObjectStore`], [`peers`] does the same from
-//! other entry hosts. How bytes look on the wire is said by [`wire`]'s traits, which the
-//! `ledgespool-platform` crate implements; nothing here knows a platform's names.
+//! The modules follow the path of a request. [`listen`] accepts it and [`request`] serves it:
+//! `open_request` reads it and finds its [`configuration`] route, and `offers` attempts it on the
+//! backend servers that [`choice`] selects from the [`fleet`], over the connections of [`pool`] and
+//! within the limits of [`budget`]. `request_failure` defines the other responses. [`follow`] keeps
+//! configuration and fleet up to date from an [`store::ObjectStore`], and [`peers`] does so from
+//! other entry hosts. The traits in [`wire`] define the wire format; the `ledgespool-platform`
+//! crate implements them, and nothing here knows a platform's names.
 //!
-//! All of them share the state in [`host`], and [`lifecycle`] starts, runs and ends it. What a
-//! host does with one part of its state has a module of its own: [`evacuation`], [`host_fleet`], [`route_times`],
-//! [`host_budget`], [`stop`], [`watch_role`], [`self_report`].
+//! All modules share the state in [`host`]; [`lifecycle`] starts, runs and stops it. Methods that
+//! concern one part of the state have a module of their own: [`evacuation`], [`host_fleet`],
+//! [`route_times`], [`host_budget`], [`stop`], [`watch_role`], [`self_report`].
 //!
-//! One thread runs all of it: on the small hosts in question a second one costs memory and
-//! wake-ups and buys nothing (docs/design/platform.md).
+//! Everything runs on one thread. On small hosts a second thread costs memory and wake-ups without
+//! any benefit (docs/design/platform.md).
 
 pub mod answer;
 mod answer_claims;
