--- a/tests/common/peer_records.rs
+++ b/tests/common/peer_records.rs
@@ -1,4 +1,4 @@
-//! Entry hosts and their heartbeats, as other hosts hear of them.
+//! Records and heartbeats of entry hosts for tests.
 
 use ledgespool::entry::peer_message::{PeerHeartbeat, WatchState};
 use ledgespool::entry::peers::HostRecord;
@@ -19,7 +19,7 @@
     }
 }
 
-/// A heartbeat with the whole record of a host that is ready and stays.
+/// A heartbeat with the whole record of a host that is ready and not leaving.
 pub fn heartbeat(record: &HostRecord, watch: WatchState) -> PeerHeartbeat {
     PeerHeartbeat {
         host: record.name.clone(),
--- a/tests/entry_keepers.rs
+++ b/tests/entry_keepers.rs
@@ -1,5 +1,6 @@
-//! Which hosts keep an entry in the store, how many hosts one that starts counts, and how hosts are
-//! forgotten. Load pattern: hundreds of hosts return at once and each call of the store is paid for.
+//! Tests which hosts register in the store, how many hosts a starting host assumes, and how hosts
+//! are forgotten. Load pattern: hundreds of hosts return at once and each call of the store is paid
+//! for.
 
 #[path = "common/peer_records.rs"]
 mod peer_records;
@@ -14,7 +15,7 @@
     peer_records::heartbeat(record, WatchState::Idle)
 }
 
-/// Three halls of `per_hall` hosts, the first of each with a larger part of a core.
+/// Three halls of `per_hall` hosts; the first two of each have a larger share of a core.
 fn fleet(per_hall: usize) -> Vec<HostRecord> {
     let halls = ["east", "west", "north"];
     let hosts = halls.iter().flat_map(|hall| {
@@ -26,7 +27,7 @@
     hosts.collect()
 }
 
-/// What each host knows when all have heard all others, but those at `silent`.
+/// Names of the live hosts that register when each knows all others and has seen all but `silent`.
 fn keepers(hosts: &[HostRecord], silent: &[&str], now: Moment) -> Vec<String> {
     let lives = |host: &&HostRecord| !silent.contains(&host.name.as_str());
     let keeps = |own: &&HostRecord| {
@@ -43,7 +44,8 @@
     kept.map(|host| host.name.clone()).collect()
 }
 
-/// Of hosts that start together each would take the whole of every shared limit for its own part.
+/// Without this, each of several hosts that start together would take the whole of every shared
+/// limit.
 #[test]
 fn a_host_that_has_heard_nobody_counts_many_though_the_store_lists_no_entries() {
     let mut peers = PeerTable::default();
@@ -126,7 +128,7 @@
     assert!(peers.other_hashes().is_none());
 }
 
-/// Objects belong to regions by the sizes of these, so all hosts must go by the same.
+/// Objects are assigned to regions by region size, so all hosts must use the same sizes.
 #[test]
 fn hosts_that_know_fewer_than_others_go_by_what_the_others_know() {
     let mut peers = PeerTable::default();
--- a/tests/entry_membership.rs
+++ b/tests/entry_membership.rs
@@ -1,4 +1,4 @@
-//! Hosts that start together over a network that loses datagrams: all come to know all others.
+//! Tests that hosts which start together over a lossy network all discover each other.
 
 #[path = "common/peer_records.rs"]
 mod peer_records;
@@ -12,38 +12,41 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-/// The time between two heartbeats, and how many of them carry the host's record.
+/// Interval between heartbeats, and how many heartbeats pass per one with the host's record.
 const BEAT_MS: u64 = 500;
 const RECORD_EVERY: u64 = 4;
-/// For so long the network loses datagrams, one in [`LOST_OF`].
+/// Datagrams are lost until this time, one in [`LOST_OF`].
 const LOSSY_MS: u64 = 2_000;
 const LOST_OF: u32 = 3;
-/// Each host looks for those that fell silent every so many heartbeats.
+/// Each host checks for silent hosts once per this number of heartbeats.
 const FORGET_EVERY: u64 = 10;
 const RECORDS_PER_DATAGRAM: usize = 10;
 const GREETED_PER_DATAGRAM: usize = 5;
-/// From when it loses none, all hosts know all others of their region in this time, and all others of any region.
+/// After the loss ends, all hosts know their region within the first time and all hosts within the
+/// second.
 const NEAR_BOUND_MS: u64 = 3_000;
 const FAR_BOUND_MS: u64 = 6_000;
 
-/// A deployment whose hosts hear of each other by heartbeats only.
+/// A deployment whose hosts learn of each other only by heartbeats.
 struct Network {
     records: Vec<HostRecord>,
     tables: Vec<PeerTable>,
     numbers: BTreeMap<SocketAddr, usize>,
     random: SmallRng,
     now: Moment,
-    /// Heartbeats to hosts that were just met, on their way.
+    /// Heartbeats to newly discovered hosts that are still to be delivered.
     greetings: VecDeque<(usize, SocketAddr, PeerHeartbeat)>,
-    /// A host that has ended.
+    /// Index of a host that has crashed.
     dead: Option<usize>,
-    /// Bytes of what hosts asked for, which a sound network does not need.
+    /// Bytes of requested records and of requests, which a loss-free network would not need.
     asked: usize,
 }
 
 impl Network {
-    /// Each host has met one other: in a single region any that started before it, so that many are known to one only; else
-    /// the seed of its region. Seeds have met each other. Nobody has met those that come after it.
+    /// Each host knows one other host at first. In a single region it is any host that started
+    /// before it, so that many hosts are known to one host only; with several regions it is the
+    /// seed of its region, and the seeds know the first of them. No host knows one that starts
+    /// after it.
     fn start(hosts: usize, regions: usize, seed: u64) -> Self {
         let records: Vec<HostRecord> = (0..hosts)
             .map(|number| {
@@ -88,7 +91,7 @@
         self.now < Moment(LOSSY_MS) && self.random.random_ratio(1, LOST_OF)
     }
 
-    /// One heartbeat of each host.
+    /// Sends one heartbeat of each host.
     fn beat(&mut self, count: u64) {
         let live = (0..self.records.len()).filter(|host| Some(*host) != self.dead);
         for host in live.collect::<Vec<usize>>() {
@@ -141,7 +144,7 @@
         self.asked += 4 * request.unknown.len()
             + 2 * request.known.as_ref().map_or(0, |known| known.marks.len());
         for part in told.chunks(RECORDS_PER_DATAGRAM) {
-            // A record takes some 100 bytes, and when it was heard ten.
+            // A record takes about 100 bytes, and a status ten.
             self.asked += 110 * part.len();
             if !self.is_lost() {
                 self.meet(to, part);
@@ -167,7 +170,8 @@
         self.tables[host].on_told(&heard, self.now);
     }
 
-    /// A host that was met by asking hears of who met it.
+    /// Sends a heartbeat to a host that was discovered by a request, so that it learns of this host
+    /// too.
     fn greet(&mut self, from: usize, target: SocketAddr) {
         let mut greeting = peer_records::heartbeat(&self.records[from], WatchState::Idle);
         let region = &self.records[from].region;
@@ -178,7 +182,8 @@
         self.greetings.push_back((from, target, greeting));
     }
 
-    /// Hosts that do not know all others of their region, and those that do not know all others.
+    /// Number of hosts that are missing some of their region, and that are missing some of any
+    /// region.
     fn incomplete(&self) -> (usize, usize) {
         let mut sizes = BTreeMap::<&str, usize>::new();
         for record in &self.records {
@@ -196,7 +201,8 @@
         (near.count(), far.count())
     }
 
-    /// When all were known, in the own region and in all.
+    /// Time until all hosts of the own region were known and until all were, and the bytes
+    /// requested.
     fn times(mut self) -> (u64, u64, usize) {
         let mut near_ms = None;
         for count in 0..40 {
@@ -218,8 +224,8 @@
     }
 }
 
-/// Hosts forget a dead one at different moments, and then know a different number: they must not tell each other of it on
-/// and on.
+/// Hosts forget a dead one at different moments, so their host counts differ for a while. They must
+/// not keep reporting the dead host to each other.
 #[test]
 fn a_dead_host_is_forgotten_by_all_though_they_differ_meanwhile() {
     for (regions, seed) in [(1, 3), (1, 4), (3, 3), (3, 4)] {
@@ -241,7 +247,8 @@
     }
     let region = network.records[DEAD].region.clone();
     let hosts = network.tables.iter().zip(&network.records);
-    // Those of other regions are told by the first host of this one, which is no part of this play.
+    // Hosts of other regions are notified by the first host of this one, which is not simulated
+    // here.
     let near = hosts.filter(|(_, record)| record.region == region && record.name != dead);
     let knowing = near.filter(|(table, _)| table.run_of(&dead) > 0);
     let knowing: Vec<&str> = knowing.map(|(_, record)| record.name.as_str()).collect();
--- a/tests/entry_news.rs
+++ b/tests/entry_news.rs
@@ -1,4 +1,4 @@
-//! Which hosts news of servers reaches, and how often it crosses from hall to hall.
+//! Tests which hosts a fleet update reaches, and how many of its datagrams cross between halls.
 
 #[path = "common/peer_records.rs"]
 mod peer_records;
@@ -12,13 +12,14 @@
 
 const HALLS: [&str; 3] = ["east", "north", "west"];
 
-/// A region whose halls have `per_hall` hosts each; the first of each of the first two halls watches the store.
+/// A region whose halls have `per_hall` hosts each. The first host of each of the first two halls
+/// watches the store.
 struct NewsRegion {
     hosts: Vec<HostRecord>,
     tables: BTreeMap<SocketAddr, PeerTable>,
 }
 
-/// Who got the news, and how many datagrams crossed from one hall to another.
+/// The hosts that got the update, and the number of datagrams that crossed between halls.
 struct NewsPlay {
     reached: BTreeSet<SocketAddr>,
     crossed: usize,
@@ -29,7 +30,7 @@
         let hosts: Vec<HostRecord> = (0..per_hall * HALLS.len())
             .map(|number| {
                 let hall = HALLS[number % HALLS.len()];
-                // The first of each hall are the largest.
+                // The first two hosts of each hall are the largest.
                 let processor_milli = if number < 2 * HALLS.len() { 500 } else { 100 };
                 let mut record =
                     peer_records::record(&format!("h-{number}"), hall, "one", processor_milli);
@@ -64,7 +65,7 @@
         &host.expect("a host").hall
     }
 
-    /// Each watcher tells its part; hosts in `dead` get nothing and pass nothing on.
+    /// Each watcher sends to its share of the halls. Hosts in `dead` neither receive nor relay.
     fn play(&self, dead: &BTreeSet<SocketAddr>) -> NewsPlay {
         let mut play = NewsPlay {
             reached: BTreeSet::new(),
@@ -104,7 +105,7 @@
     }
 }
 
-/// A host that has just ended is taken for live for some seconds.
+/// A crashed host counts as alive for a few seconds, so it may still be chosen as a relay.
 #[test]
 fn news_reaches_every_other_host_though_one_that_passes_it_on_has_just_ended_in_each_hall() {
     let region = NewsRegion::with_hosts(14);
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -1,4 +1,4 @@
-//! What an entry host believes of other hosts, what it tells them, and which of them watch the store.
+//! Tests how a host tracks its peers, which of them it sends to, and which hosts watch the store.
 
 #[path = "common/peer_records.rs"]
 mod peer_records;
@@ -89,7 +89,7 @@
     assert!(!named.is_elsewhere && named.addresses.len() == 1);
 }
 
-/// A region of more hosts than a heartbeat goes to, of which only the first is heard itself.
+/// A region with more hosts than a heartbeat goes to, of which only the first has sent a heartbeat.
 fn large_region(heard: &[HeardHost]) -> PeerTable {
     let mut peers = PeerTable::default();
     for number in 0..20 {
@@ -166,14 +166,14 @@
         ..beat.clone()
     };
     let far_short = short.for_other_regions();
-    // Twice a second, with the host's record in one of four.
+    // Two heartbeats per second, one in four with the record.
     let a_round = near * bytes(short) + far * bytes(far_short);
     let with_record = (near + far) * bytes(beat);
     let per_second = 2 * (3 * a_round + with_record) / 4;
     assert!(per_second < 10_000, "{per_second} bytes a second");
 }
 
-/// Hosts of one region that send heartbeats to each other, in simulated time.
+/// Hosts of one region that exchange heartbeats in simulated time.
 struct HearsayRegion {
     records: Vec<HostRecord>,
     tables: Vec<PeerTable>,
@@ -182,7 +182,7 @@
 
 impl HearsayRegion {
     const BEAT_MS: u64 = 500;
-    /// A datagram's way between two halls, at most.
+    /// Maximum network latency between two halls.
     const WAY_MS: u64 = 20;
 
     fn with_hosts(count: u16) -> Self {
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Lets all hosts beat at their own moments until `until_ms`; the first is dead from `dies_ms`.
+    /// Lets each host send heartbeats at its own phase until `until_ms`; the first host stops at
+    /// `dies_ms`.
     fn run(&mut self, from_ms: u64, until_ms: u64, dies_ms: u64) {
         for millis in from_ms..until_ms {
             for number in 0..self.records.len() {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// How many hosts other than the first name the one with `number` to callers.
+    /// Number of hosts, without the first, that advertise host `number` to callers.
     fn naming(&self, number: usize, millis: u64) -> usize {
         let address = self.records[number].caller_address;
         let others = (1..self.tables.len()).filter(|other| *other != number);
@@ -360,7 +361,8 @@
     assert_eq!(peers.host_count(), 1);
 }
 
-/// Each of any number of hosts that have just started takes its part of a limit: together they must not exceed it.
+/// Any number of hosts may have just started. If each took a fixed share of a limit, they would
+/// exceed it together.
 #[test]
 fn hosts_that_do_not_know_their_number_take_no_fixed_part_of_a_limit() {
     const SLACK: f64 = 100_000.0;
@@ -373,7 +375,7 @@
     assert!(!RetryWindow::with_length(10_000).try_repeat(&share, Moment(0)));
 }
 
-/// Hosts count as known once there was time to hear of them, which may be too early in a large deployment.
+/// Membership counts as complete after a timeout, which may be too early in a large deployment.
 #[test]
 fn a_host_that_others_tell_of_more_hosts_divides_limits_by_as_many() {
     let mut peers = PeerTable::default();
@@ -396,7 +398,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever bytes another host sends, they are read or refused.
+    /// Arbitrary bytes from another host are decoded or rejected.
     #[test]
     fn bytes_of_other_hosts_never_panic(mut bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _read = peer_message::from_bytes::<PeerMessage>(&bytes);
