--- a/src/entry/peers/grantors.rs
+++ b/src/entry/peers/grantors.rs
@@ -10,7 +10,7 @@
 /// arrived. A host applies part of a customer's limit from its start, since that limit is the only
 /// way in. In a deployment with more hosts, those that start without any report may exceed the
 /// limit together until they discover each other.
-const UNTOLD_HOSTS: u32 = 470;
+const DEFAULT_HOST_COUNT: u32 = 470;
 
 /// A host that coordinates limits, and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,18 +33,18 @@
         region: &str,
         key: u64,
         own: Option<&HostRecord>,
-        is_passed_over: impl Fn(&str) -> bool,
+        is_excluded: impl Fn(&str) -> bool,
         now: Moment,
     ) -> Option<GrantorPlace> {
-        let silent_ms = self.silent_ms(region);
-        let peers = self.near(region);
-        let live = peers.filter(|peer| peer.may_live(now, silent_ms) && !peer.leaving);
+        let timeout_ms = self.timeout_ms(region);
+        let peers = self.in_region(region);
+        let live = peers.filter(|peer| peer.may_be_alive(now, timeout_ms) && !peer.leaving);
         let live = live.map(|peer| &peer.record);
-        let live = live.filter(|record| !is_passed_over(&record.name));
+        let live = live.filter(|record| !is_excluded(&record.name));
         let own = own.filter(|own| own.region == region);
         let first = live
             .chain(own)
-            .min_by_key(|record| grantor_order(record, key))?;
+            .min_by_key(|record| coordinator_rank(record, key))?;
         Some(GrantorPlace {
             name: first.name.clone(),
             address: first.heartbeat_address,
@@ -61,27 +61,27 @@
         own_region: &str,
         mut regions: impl Iterator<Item = &'a str>,
     ) -> u32 {
-        let is_told = |region: &str| {
-            self.told_sizes
+        let is_reported = |region: &str| {
+            self.reported_sizes
                 .get(region)
-                .is_some_and(|told| told.hosts > 0)
+                .is_some_and(|reported| reported.hosts > 0)
         };
         let sizes: u32 = self.hosts_by_region(own_region).values().sum();
-        if !self.listed && regions.all(is_told) {
+        if !self.membership_complete && regions.all(is_reported) {
             return sizes;
         }
-        let known = if self.listed {
+        let known = if self.membership_complete {
             self.host_count()
         } else {
-            UNTOLD_HOSTS
+            DEFAULT_HOST_COUNT
         };
         known.max(sizes)
     }
 }
 
 /// Sort key for coordinators. Processor sizes within the same power of two are equal.
-fn grantor_order(record: &HostRecord, key: u64) -> (cmp::Reverse<u32>, u64) {
+fn coordinator_rank(record: &HostRecord, key: u64) -> (cmp::Reverse<u32>, u64) {
     let size = record.processor_milli.max(1).ilog2();
-    let drawn = hash::mix(hash::of_name(&record.name) ^ hash::mix(key.wrapping_add(1)));
-    (cmp::Reverse(size), drawn)
+    let host_hash = hash::mix(hash::of_name(&record.name) ^ hash::mix(key.wrapping_add(1)));
+    (cmp::Reverse(size), host_hash)
 }
--- a/src/entry/peers/keepers.rs
+++ b/src/entry/peers/keepers.rs
@@ -6,7 +6,7 @@
 
 use std::collections;
 
-use super::{HostRecord, PeerTable, REMOVE_MS};
+use super::{HostRecord, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::peer_message::GoneHost;
 use crate::timer::Moment;
 
@@ -17,7 +17,7 @@
 /// A host of another region not seen for this long is forgotten, in milliseconds. Each heartbeat
 /// goes to two hosts of other regions, so in a fleet of 470 hosts a given one is seen about every
 /// 80 s.
-const FAR_REMOVE_MS: u64 = 600_000;
+const REMOTE_REMOVE_TIMEOUT_MS: u64 = 600_000;
 
 /// A host's entry in the store.
 #[derive(Debug)]
@@ -30,11 +30,11 @@
     /// Whether `own` is one of the hosts of its hall that register in the store.
     #[must_use]
     pub fn keeps_entry(&self, own: &HostRecord, now: Moment) -> bool {
-        let silent_ms = self.silent_ms(&own.region);
-        let before = self.near(&own.region).filter(|peer| {
+        let timeout_ms = self.timeout_ms(&own.region);
+        let before = self.in_region(&own.region).filter(|peer| {
             peer.record.hall == own.hall
                 && peer.record.watch_order() < own.watch_order()
-                && peer.stays(now, silent_ms)
+                && peer.is_active(now, timeout_ms)
         });
         before.count() < ENTRY_KEEPERS
     }
@@ -43,31 +43,38 @@
     /// size and name hash.
     #[must_use]
     pub fn hall_keepers(&self, own: &HostRecord) -> Vec<std::net::SocketAddr> {
-        let near = self.near(&own.region).map(|peer| &peer.record);
-        let mut hall: Vec<_> = near.filter(|record| record.hall == own.hall).collect();
+        let local = self.in_region(&own.region).map(|peer| &peer.record);
+        let mut hall: Vec<_> = local.filter(|record| record.hall == own.hall).collect();
         hall.sort_by_key(|record| record.watch_order());
-        let keepers = hall.iter().take(ENTRY_KEEPERS);
-        keepers.map(|record| record.peer_address).collect()
+        let registered = hall.iter().take(ENTRY_KEEPERS);
+        registered.map(|record| record.peer_address).collect()
     }
 
     /// Forgets hosts that were not seen for too long, and returns those of `region`.
     pub fn forget_silent(&mut self, region: &str, now: Moment) -> Vec<GoneHost> {
-        let silent_for = |peer: &super::PeerEntry| now.since(peer.heard.unwrap_or(peer.met));
-        let is_over = |peer: &super::PeerEntry| {
-            let is_near = peer.record.region == region;
-            silent_for(peer) > if is_near { REMOVE_MS } else { FAR_REMOVE_MS }
+        let silence_ms =
+            |peer: &super::PeerEntry| now.since(peer.last_seen.unwrap_or(peer.discovered_at));
+        let is_expired = |peer: &super::PeerEntry| {
+            let is_local = peer.record.region == region;
+            silence_ms(peer)
+                > if is_local {
+                    REMOVE_TIMEOUT_MS
+                } else {
+                    REMOTE_REMOVE_TIMEOUT_MS
+                }
         };
-        let over = self.peers.values().filter(|peer| is_over(peer));
-        let over: Vec<HostRecord> = over.map(|peer| peer.record.clone()).collect();
-        for record in &over {
+        let expired = self.peers.values().filter(|peer| is_expired(peer));
+        let expired: Vec<HostRecord> = expired.map(|peer| peer.record.clone()).collect();
+        for record in &expired {
             self.on_removed(&record.name, record.run);
         }
-        let near = over.into_iter().filter(|record| record.region == region);
-        near.map(|record| GoneHost {
-            name: record.name,
-            run: record.run,
-        })
-        .collect()
+        let local = expired.into_iter().filter(|record| record.region == region);
+        local
+            .map(|record| GoneHost {
+                name: record.name,
+                run: record.run,
+            })
+            .collect()
     }
 
     /// Applies the complete list of host entries from the store. A hall with fewer than
@@ -76,7 +83,7 @@
     /// that start together register later.
     pub fn on_entries(&mut self, records: &[HostRecord]) {
         self.entries_read = true;
-        self.entries.clear();
+        self.store_entries.clear();
         let mut halls = collections::BTreeMap::<&str, usize>::new();
         for record in records {
             self.on_entry(record);
@@ -94,13 +101,17 @@
             run: record.run,
             region: record.region.clone(),
         };
-        self.entries.insert(record.name.clone(), entry);
+        self.store_entries.insert(record.name.clone(), entry);
     }
 
     /// Records that the entry of this run of a host is gone from the store.
     pub fn on_entry_gone(&mut self, name: &str, run: u64) {
-        if self.entries.get(name).is_some_and(|entry| entry.run <= run) {
-            self.entries.remove(name);
+        if self
+            .store_entries
+            .get(name)
+            .is_some_and(|entry| entry.run <= run)
+        {
+            self.store_entries.remove(name);
         }
     }
 
@@ -108,9 +119,10 @@
     /// seen them in the store.
     #[must_use]
     pub fn abandoned_entries(&self, own: &HostRecord) -> Vec<GoneHost> {
-        let near = self.entries.iter();
-        let near = near.filter(|(name, entry)| entry.region == own.region && **name != own.name);
-        let abandoned = near.filter(|(name, entry)| self.run_of(name) < entry.run);
+        let entries = self.store_entries.iter();
+        let entries =
+            entries.filter(|(name, entry)| entry.region == own.region && **name != own.name);
+        let abandoned = entries.filter(|(name, entry)| self.run_of(name) < entry.run);
         abandoned
             .map(|(name, entry)| GoneHost {
                 name: name.clone(),
--- a/src/entry/peers/limit_keepers.rs
+++ b/src/entry/peers/limit_keepers.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, net};
 
-use super::{HostRecord, PeerEntry, PeerTable, REMOVE_MS};
+use super::{HostRecord, PeerEntry, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::timer::Moment;
 
 /// The owner of a server's limit, as seen from this host.
@@ -75,8 +75,15 @@
     }
 
     fn lately_heard(&self, region: &str, now: Moment) -> KeeperPlace {
-        let hosts = self.near(region).filter(|peer| peer.lived_lately(now));
-        let last = hosts.max_by_key(|peer| (peer.heard.unwrap_or(peer.met), &peer.record.name));
+        let hosts = self
+            .in_region(region)
+            .filter(|peer| peer.was_alive_recently(now));
+        let last = hosts.max_by_key(|peer| {
+            (
+                peer.last_seen.unwrap_or(peer.discovered_at),
+                &peer.record.name,
+            )
+        });
         last.map_or(KeeperPlace::Nowhere, |peer| KeeperPlace::At {
             address: peer.record.heartbeat_address,
             is_near: false,
@@ -89,14 +96,17 @@
         own: Option<&'a HostRecord>,
         now: Moment,
     ) -> collections::BTreeSet<&'a str> {
-        let live = self.peers.values().filter(|peer| peer.lived_lately(now));
+        let live = self
+            .peers
+            .values()
+            .filter(|peer| peer.was_alive_recently(now));
         let live = live.map(|peer| peer.record.region.as_str());
         live.chain(own.map(|own| own.region.as_str())).collect()
     }
 }
 
 impl PeerEntry {
-    fn lived_lately(&self, now: Moment) -> bool {
-        !self.leaving && self.may_live(now, REMOVE_MS)
+    fn was_alive_recently(&self, now: Moment) -> bool {
+        !self.leaving && self.may_be_alive(now, REMOVE_TIMEOUT_MS)
     }
 }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -7,9 +7,9 @@
 //! of hosts for other duties.
 
 mod grantors;
-mod heard;
 mod keepers;
 mod limit_keepers;
+mod peer_status;
 mod reconcile;
 mod region_size;
 mod suspect_keepers;
@@ -21,7 +21,7 @@
 pub use self::grantors::GrantorPlace;
 pub use self::keepers::ENTRY_KEEPERS;
 pub use self::limit_keepers::{KeeperPlace, KeeperQuery};
-pub use self::targets::{NEAR_TARGETS, NEWS_RELAYS, NewsTargets};
+pub use self::targets::{HEARTBEAT_FANOUT, NewsTargets, RELAYS_PER_HALL};
 pub use self::watchers::WATCHERS;
 use super::hash;
 use super::peer_message::{PeerHeartbeat, WatchState};
@@ -36,7 +36,7 @@
 pub const INDIRECT_SILENT_MS: u64 = 3_000;
 /// A host of the own region not seen for this long is forgotten and its entry is removed from the
 /// store, in milliseconds.
-const REMOVE_MS: u64 = 20_000;
+const REMOVE_TIMEOUT_MS: u64 = 20_000;
 /// One run of an entry host, as it is written to the store and sent to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HostRecord {
@@ -66,28 +66,28 @@
 #[derive(Debug)]
 struct PeerEntry {
     record: HostRecord,
-    heard: Option<Moment>,
-    met: Moment,
+    last_seen: Option<Moment>,
+    discovered_at: Moment,
     ready: bool,
     leaving: bool,
     watch: WatchState,
 }
 
 impl PeerEntry {
-    fn is_heard(&self, now: Moment, silent_ms: u64) -> bool {
-        self.heard
-            .is_some_and(|heard| now.since(heard) <= silent_ms)
+    fn is_alive(&self, now: Moment, timeout_ms: u64) -> bool {
+        self.last_seen
+            .is_some_and(|seen| now.since(seen) <= timeout_ms)
     }
 
     /// Whether the host was seen, or discovered, so recently that it may be alive. The first
     /// heartbeat of a newly discovered host may still be on its way.
-    fn may_live(&self, now: Moment, silent_ms: u64) -> bool {
-        now.since(self.heard.unwrap_or(self.met)) <= silent_ms
+    fn may_be_alive(&self, now: Moment, timeout_ms: u64) -> bool {
+        now.since(self.last_seen.unwrap_or(self.discovered_at)) <= timeout_ms
     }
 
     /// Whether the host is alive and has not announced its shutdown.
-    fn stays(&self, now: Moment, silent_ms: u64) -> bool {
-        self.is_heard(now, silent_ms) && !self.leaving
+    fn is_active(&self, now: Moment, timeout_ms: u64) -> bool {
+        self.is_alive(now, timeout_ms) && !self.leaving
     }
 
     /// Applies a heartbeat that came from the host itself.
@@ -95,16 +95,16 @@
         &mut self,
         heartbeat: &PeerHeartbeat,
         now: Moment,
-        silent_ms: u64,
+        timeout_ms: u64,
     ) -> PeerChange {
-        let silent = !self.is_heard(now, silent_ms);
-        let turned = heartbeat.leaving && !self.leaving;
-        self.heard = Some(now);
+        let was_silent = !self.is_alive(now, timeout_ms);
+        let starts_leaving = heartbeat.leaving && !self.leaving;
+        self.last_seen = Some(now);
         self.ready = heartbeat.ready;
         self.watch = heartbeat.watch;
         // A leaving host never returns in the same run; a late datagram must not reset the flag.
         self.leaving |= heartbeat.leaving;
-        match (turned, silent) {
+        match (starts_leaving, was_silent) {
             (true, _) => PeerChange::Leaving,
             (false, true) => PeerChange::Heard,
             (false, false) => PeerChange::None,
@@ -140,22 +140,22 @@
     /// seed give the same hosts.
     peers: rustc_hash::FxHashMap<String, PeerEntry>,
     /// Host names by the short hashes used in gossip.
-    names: collections::HashMap<u32, String>,
+    names_by_hash: collections::HashMap<u32, String>,
     /// State of the requests for missing hosts.
     reconcile: reconcile::ReconcileState,
     /// Number of known hosts by region.
     region_counts: collections::BTreeMap<String, u32>,
     /// Hashes of all host names, computed on demand. Rebuilding all indexes for each new host took
     /// 7.3 ms of a whole core for 295 hosts; this takes 0.17 ms.
-    hashes: cell::RefCell<Option<rc::Rc<[u64]>>>,
+    name_hashes: cell::RefCell<Option<rc::Rc<[u64]>>>,
     /// Entries of hosts in the store; filled only on hosts that watch the store.
-    entries: collections::HashMap<String, keepers::HostEntry>,
+    store_entries: collections::HashMap<String, keepers::HostEntry>,
     /// The largest recently reported size of each region.
-    told_sizes: collections::BTreeMap<String, region_size::ToldSize>,
+    reported_sizes: collections::BTreeMap<String, region_size::ReportedSize>,
     /// Whether the entries in the store were read at least once.
     entries_read: bool,
     /// Whether all hosts are presumed to be known.
-    listed: bool,
+    membership_complete: bool,
     /// Whether the settings name other seeds, so that other hosts probably exist.
     may_have_peers: bool,
 }
@@ -163,27 +163,27 @@
 impl PeerTable {
     /// Adds a host, or a newer run of it, learned from the store or another host.
     pub fn on_record(&mut self, record: &HostRecord, now: Moment) {
-        self.on_told_size(&record.region, record.region_hosts, now);
+        self.on_reported_size(&record.region, record.region_hosts, now);
         let known = self.peers.get(&record.name);
         if known.is_some_and(|known| known.record.run >= record.run) {
             return;
         }
         let entry = PeerEntry {
             record: record.clone(),
-            heard: None,
-            met: now,
+            last_seen: None,
+            discovered_at: now,
             ready: false,
             leaving: false,
             watch: WatchState::Idle,
         };
-        let before = self.peers.insert(record.name.clone(), entry);
-        match before {
-            Some(before) => self.uncount(&before.record.region),
+        let previous = self.peers.insert(record.name.clone(), entry);
+        match previous {
+            Some(previous) => self.decrement_region_count(&previous.record.region),
             None => self.on_new_name(&record.name),
         }
         // Hosts that start together find no entries in the store and learn of each other by
         // heartbeats.
-        if self.entries_read && self.entries.is_empty() {
+        if self.entries_read && self.store_entries.is_empty() {
             self.on_listed();
         }
         let count = self.region_counts.entry(record.region.clone());
@@ -192,11 +192,12 @@
 
     fn on_new_name(&mut self, name: &str) {
         self.reconcile.on_new_name();
-        self.names.insert(heard::short_hash(name), name.to_owned());
-        *self.hashes.get_mut() = None;
+        self.names_by_hash
+            .insert(peer_status::short_hash(name), name.to_owned());
+        *self.name_hashes.get_mut() = None;
     }
 
-    fn uncount(&mut self, region: &str) {
+    fn decrement_region_count(&mut self, region: &str) {
         if let Some(count) = self.region_counts.get_mut(region) {
             *count = count.saturating_sub(1);
         }
@@ -212,10 +213,10 @@
             .peers
             .get(&heartbeat.host)
             .map(|peer| &peer.record.region);
-        let silent_ms = region.map_or(SILENT_MS, |region| self.silent_ms(region));
+        let timeout_ms = region.map_or(SILENT_MS, |region| self.timeout_ms(region));
         match self.peers.get_mut(&heartbeat.host) {
             Some(peer) if peer.record.run == heartbeat.run => {
-                peer.on_heartbeat(heartbeat, now, silent_ms)
+                peer.on_heartbeat(heartbeat, now, timeout_ms)
             }
             _ => PeerChange::None,
         }
@@ -228,9 +229,9 @@
         if known.is_some_and(|known| known.record.run <= run)
             && let Some(removed) = self.peers.remove(name)
         {
-            self.uncount(&removed.record.region);
-            self.names.remove(&heard::short_hash(name));
-            *self.hashes.get_mut() = None;
+            self.decrement_region_count(&removed.record.region);
+            self.names_by_hash.remove(&peer_status::short_hash(name));
+            *self.name_hashes.get_mut() = None;
         }
     }
 
@@ -244,21 +245,21 @@
     #[must_use]
     pub fn other_hashes(&self) -> Option<rc::Rc<[u64]>> {
         let hash_all = || self.peers.keys().map(|name| hash::of_name(name)).collect();
-        self.listed.then(|| {
-            let mut hashes = self.hashes.borrow_mut();
+        self.membership_complete.then(|| {
+            let mut hashes = self.name_hashes.borrow_mut();
             rc::Rc::clone(hashes.get_or_insert_with(hash_all))
         })
     }
 
-    fn near<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a PeerEntry> {
+    fn in_region<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a PeerEntry> {
         let peers = self.peers.values();
         peers.filter(move |peer| peer.record.region == region)
     }
 
     /// How long a host of `region` may go unseen before it counts as gone, in milliseconds.
-    fn silent_ms(&self, region: &str) -> u64 {
+    fn timeout_ms(&self, region: &str) -> u64 {
         let count = self.region_counts.get(region);
-        if count.is_some_and(|count| *count as usize > NEAR_TARGETS) {
+        if count.is_some_and(|count| *count as usize > HEARTBEAT_FANOUT) {
             INDIRECT_SILENT_MS
         } else {
             SILENT_MS
@@ -282,8 +283,8 @@
     /// Whether a known host in `region` has this peer address.
     #[must_use]
     pub fn stands_in(&self, peer_address: net::SocketAddr, region: &str) -> bool {
-        let mut near = self.near(region);
-        near.any(|peer| peer.record.peer_address == peer_address)
+        let mut hosts = self.in_region(region);
+        hosts.any(|peer| peer.record.peer_address == peer_address)
     }
 
     /// Whether no other host is known.
@@ -311,13 +312,13 @@
     /// Records that all hosts are known: another host reported a complete list, or enough time has
     /// passed.
     pub const fn on_listed(&mut self) {
-        self.listed = true;
+        self.membership_complete = true;
     }
 
     /// Whether all hosts are presumed to be known.
     #[must_use]
     pub const fn is_listed(&self) -> bool {
-        self.listed
+        self.membership_complete
     }
 
     /// Whether a host of each of these halls is known.
@@ -329,10 +330,10 @@
     /// and `own`. Hosts of other regions are included only if the caller's region has none.
     #[must_use]
     pub fn named_for(&self, region: &str, own: Option<&HostRecord>, now: Moment) -> NamedHosts {
-        let near = self.live_addresses(|record| record.region == region, own, now);
-        if !near.is_empty() {
+        let local = self.live_addresses(|record| record.region == region, own, now);
+        if !local.is_empty() {
             return NamedHosts {
-                addresses: near,
+                addresses: local,
                 is_elsewhere: false,
             };
         }
@@ -349,8 +350,8 @@
         now: Moment,
     ) -> Vec<net::SocketAddr> {
         let live = self.peers.values().filter(|peer| {
-            let silent_ms = self.silent_ms(&peer.record.region);
-            peer.stays(now, silent_ms) && peer.ready
+            let timeout_ms = self.timeout_ms(&peer.record.region);
+            peer.is_active(now, timeout_ms) && peer.ready
         });
         live.map(|peer| &peer.record)
             .chain(own)
--- a/src/entry/peers/heard.rs
+++ b/src/entry/peers/peer_status.rs
@@ -14,20 +14,20 @@
 /// under 10 KB a second, and each host of a region of 160 appears in one or two of the eight
 /// heartbeats that another host gets per round. With 32, some live host was advertised by fewer
 /// than 98 in 100 others in 7 of 120 simulated regions of 157 hosts; with 40 in none of 60.
-const TOLD_HOSTS: usize = 40;
+const MAX_STATUSES: usize = 40;
 
 /// Maximum number of statuses from other regions among them.
-const TOLD_FAR_HOSTS: usize = 10;
+const MAX_REMOTE_STATUSES: usize = 10;
 
 /// Maximum network latency to another host of the region, in tenths of a second.
-const WAY_TENTHS: u64 = 1;
+const MAX_LATENCY_TENTHS: u64 = 1;
 
 impl PeerTable {
     /// The most recent statuses of hosts in `region`. The newest ones are unknown to most
     /// recipients.
     #[must_use]
     pub fn heard_lately(&self, region: &str, now: Moment) -> Vec<HeardHost> {
-        newest(self.near(region), TOLD_HOSTS, now)
+        newest(self.in_region(region), MAX_STATUSES, now)
     }
 
     /// Like [`Self::recent_statuses`], with some hosts of other regions, for heartbeats that go to
@@ -36,18 +36,22 @@
     #[must_use]
     pub fn heard_anywhere(&self, region: &str, now: Moment) -> Vec<HeardHost> {
         let peers = self.peers.values();
-        let far = peers.filter(|peer| peer.record.region != region);
-        let mut told = newest(far, TOLD_FAR_HOSTS, now);
-        told.extend(newest(self.near(region), TOLD_HOSTS - told.len(), now));
-        told
+        let remote = peers.filter(|peer| peer.record.region != region);
+        let mut statuses = newest(remote, MAX_REMOTE_STATUSES, now);
+        statuses.extend(newest(
+            self.in_region(region),
+            MAX_STATUSES - statuses.len(),
+            now,
+        ));
+        statuses
     }
 
     /// Applies peer statuses reported by another host.
-    pub fn on_told(&mut self, heard: &[HeardHost], now: Moment) {
-        for told in heard {
-            let name = self.names.get(&told.name_hash);
+    pub fn on_told(&mut self, statuses: &[HeardHost], now: Moment) {
+        for status in statuses {
+            let name = self.names_by_hash.get(&status.name_hash);
             if let Some(peer) = name.and_then(|name| self.peers.get_mut(name)) {
-                peer.on_told(told, now);
+                peer.on_status(status, now);
             }
         }
     }
@@ -56,26 +60,26 @@
 /// The statuses of the `limit` most recently seen hosts.
 fn newest<'a>(
     peers: impl Iterator<Item = &'a PeerEntry>,
-    most: usize,
+    limit: usize,
     now: Moment,
 ) -> Vec<HeardHost> {
-    let mut told: Vec<HeardHost> = peers
-        .filter_map(|peer| peer.told(INDIRECT_SILENT_MS, now))
+    let mut statuses: Vec<HeardHost> = peers
+        .filter_map(|peer| peer.status(INDIRECT_SILENT_MS, now))
         .collect();
-    told.sort_unstable_by_key(|heard| (heard.age_tenths, heard.name_hash));
-    told.truncate(most);
-    told
+    statuses.sort_unstable_by_key(|status| (status.age_tenths, status.name_hash));
+    statuses.truncate(limit);
+    statuses
 }
 
 impl PeerEntry {
     /// The status to report to others; `None` if the host is leaving or its status would be older
     /// than `max_age_ms`.
-    pub(super) fn told(&self, age_ms: u64, now: Moment) -> Option<HeardHost> {
+    pub(super) fn status(&self, max_age_ms: u64, now: Moment) -> Option<HeardHost> {
         // The age is rounded up and a tenth is added for the network latency. If the age shrank
         // with each relay, gossip would keep a dead host alive forever.
-        let age_tenths = now.since(self.heard?).div_ceil(100) + WAY_TENTHS;
-        let is_worth_telling = age_tenths * 100 <= age_ms && !self.leaving;
-        is_worth_telling.then_some(HeardHost {
+        let age_tenths = now.since(self.last_seen?).div_ceil(100) + MAX_LATENCY_TENTHS;
+        let is_recent = age_tenths * 100 <= max_age_ms && !self.leaving;
+        is_recent.then_some(HeardHost {
             name_hash: short_hash(&self.record.name),
             run_low: run_low(self.record.run),
             // The check above bounds the age by `max_age_ms`, and all callers pass less than 25 s.
@@ -86,13 +90,13 @@
     }
 
     /// Applies a status reported by another host if it is newer than the known one.
-    fn on_told(&mut self, told: &HeardHost, now: Moment) {
-        let spoke = now.before(u64::from(told.age_tenths) * 100);
-        let is_news = self.heard.is_none_or(|heard| heard < spoke);
-        if told.run_low == run_low(self.record.run) && is_news {
-            self.heard = Some(spoke);
-            self.ready = told.ready;
-            self.watch = told.watch;
+    fn on_status(&mut self, status: &HeardHost, now: Moment) {
+        let sent_at = now.before(u64::from(status.age_tenths) * 100);
+        let is_newer = self.last_seen.is_none_or(|seen| seen < sent_at);
+        if status.run_low == run_low(self.record.run) && is_newer {
+            self.last_seen = Some(sent_at);
+            self.ready = status.ready;
+            self.watch = status.watch;
         }
     }
 }
--- a/src/entry/peers/reconcile.rs
+++ b/src/entry/peers/reconcile.rs
@@ -6,25 +6,25 @@
 
 use std::collections;
 
-use super::heard::{run_low, short_hash};
-use super::{HostRecord, PeerEntry, PeerTable, REMOVE_MS};
+use super::peer_status::{run_low, short_hash};
+use super::{HostRecord, PeerEntry, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::hash;
 use crate::entry::peer_message::{HeardHost, KnownHost, KnownSlice, PeerHeartbeat, WhoIsRequest};
 use crate::timer::Moment;
 
 /// Interval between requests for the same unknown host, in milliseconds. One heartbeat, so that a
 /// lost datagram delays discovery by no more than that.
-const ASK_AGAIN_MS: u64 = 500;
+const REQUEST_RETRY_MS: u64 = 500;
 
 /// Interval between requests to a host of another region that knows more hosts, in milliseconds.
 /// The counts may differ only by a host that is gone, and a request takes 1,000 bytes.
-const COMPARE_MS: u64 = 2_000;
+const REMOTE_REQUEST_INTERVAL_MS: u64 = 2_000;
 
 /// Number of consecutive requests without a new host before backoff starts. Hosts that start
 /// together know few others at first.
-const ASKED_AT_FIRST: u32 = 8;
+const REQUESTS_BEFORE_BACKOFF: u32 = 8;
 /// Maximum number of doublings of the request interval.
-const MAX_GAP_DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Marks of known hosts in one datagram; about 1,000 bytes.
 const MARKS_PER_DATAGRAM: u32 = 480;
@@ -32,46 +32,46 @@
 /// Maximum age of a status that is reported to a host that asks, in milliseconds. Half of the
 /// removal timeout, so that two hosts cannot keep reporting a dead host to each other in
 /// alternation.
-const TOLD_AGAIN_MS: u64 = REMOVE_MS / 2;
+const MAX_REPORTED_AGE_MS: u64 = REMOVE_TIMEOUT_MS / 2;
 
 /// Maximum number of records sent in addition to the requested ones; twelve datagrams.
-const RECORDS_BESIDE: usize = 120;
+const MAX_EXTRA_RECORDS: usize = 120;
 
 /// Which hosts known to another host are missing here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum KnownLack {
+enum MissingHosts {
     /// None, as far as the counts show.
     None,
     /// Hosts of the other host's region, which that host knows well.
-    Near,
+    Local,
     /// Hosts of any region.
-    Far,
+    Any,
 }
 
 /// State of the requests for missing hosts.
 #[derive(Debug, Default)]
 pub(super) struct ReconcileState {
     /// Recently requested hosts, by short hash.
-    asked: rustc_hash::FxHashMap<u32, Moment>,
+    requested: rustc_hash::FxHashMap<u32, Moment>,
     /// Time of the last request for all missing hosts.
-    asked_all: Option<Moment>,
+    last_full_request: Option<Moment>,
     /// Number of hosts that the recipient of that request knew.
-    asked_count: u32,
+    last_target_count: u32,
     /// Consecutive requests for all missing hosts that led to no new host.
-    asked_in_vain: u32,
+    fruitless_requests: u32,
     /// Number of requests for all missing hosts.
-    questions: u32,
+    full_requests: u32,
 }
 
 impl ReconcileState {
     /// Resets the backoff because a new host was discovered.
     pub(super) const fn on_new_name(&mut self) {
-        self.asked_in_vain = 0;
+        self.fruitless_requests = 0;
     }
 
-    fn forget_asked(&mut self, now: Moment) {
-        self.asked
-            .retain(|_, asked| now.since(*asked) < ASK_AGAIN_MS);
+    fn forget_old_requests(&mut self, now: Moment) {
+        self.requested
+            .retain(|_, at| now.since(*at) < REQUEST_RETRY_MS);
     }
 }
 
@@ -88,7 +88,7 @@
         now: Moment,
     ) -> Option<WhoIsRequest> {
         let own_hash = short_hash(&own.name);
-        self.reconcile.forget_asked(now);
+        self.reconcile.forget_old_requests(now);
         let sender = HeardHost {
             name_hash: short_hash(&heartbeat.host),
             run_low: run_low(heartbeat.run),
@@ -97,34 +97,34 @@
             watch: heartbeat.watch,
         };
         let mut unknown = Vec::new();
-        for told in heartbeat.heard.iter().chain([&sender]) {
-            let is_due = told.name_hash != own_hash && !self.knows_run(told);
-            if is_due && !self.reconcile.asked.contains_key(&told.name_hash) {
-                self.reconcile.asked.insert(told.name_hash, now);
-                unknown.push(told.name_hash);
+        for status in heartbeat.heard.iter().chain([&sender]) {
+            let is_due = status.name_hash != own_hash && !self.knows_run(status);
+            if is_due && !self.reconcile.requested.contains_key(&status.name_hash) {
+                self.reconcile.requested.insert(status.name_hash, now);
+                unknown.push(status.name_hash);
             }
         }
         let known = self
-            .may_ask_for_all(heartbeat, &own.region, now)
-            .then(|| self.known_for_all(own_hash, heartbeat.known_hosts, now));
-        let asks = known.is_some() || !unknown.is_empty();
-        asks.then_some(WhoIsRequest { unknown, known })
+            .should_request_all(heartbeat, &own.region, now)
+            .then(|| self.known_slice(own_hash, heartbeat.known_hosts, now));
+        let is_needed = known.is_some() || !unknown.is_empty();
+        is_needed.then_some(WhoIsRequest { unknown, known })
     }
 
     /// Which hosts are missing here, judged by the counts in a heartbeat.
-    fn lack_beside(&self, heartbeat: &PeerHeartbeat, own_region: &str) -> KnownLack {
+    fn missing_hosts(&self, heartbeat: &PeerHeartbeat, own_region: &str) -> MissingHosts {
         let sender = self.peers.get(&heartbeat.host);
-        let near = sender.map_or(0, |sender| {
+        let local_count = sender.map_or(0, |sender| {
             let region = &sender.record.region;
             let own = u32::from(region == own_region);
             self.region_counts.get(region).copied().unwrap_or(0) + own
         });
-        if heartbeat.known_near > near {
-            KnownLack::Near
+        if heartbeat.known_near > local_count {
+            MissingHosts::Local
         } else if heartbeat.known_hosts > self.known_count() {
-            KnownLack::Far
+            MissingHosts::Any
         } else {
-            KnownLack::None
+            MissingHosts::None
         }
     }
 
@@ -132,43 +132,43 @@
     /// while requests lead to no new host, because the counts also differ by a dead host until both
     /// sides have forgotten it. A host of the own region that knows more than the last one asked is
     /// asked at once, since only traffic between regions is expensive.
-    fn may_ask_for_all(&self, heartbeat: &PeerHeartbeat, own_region: &str, now: Moment) -> bool {
-        let lack = self.lack_beside(heartbeat, own_region);
-        let is_near = self.is_of_region(&heartbeat.host, own_region);
-        let gap_ms = match lack {
-            KnownLack::None => return false,
-            KnownLack::Near => ASK_AGAIN_MS,
-            KnownLack::Far if is_near => ASK_AGAIN_MS,
-            KnownLack::Far => COMPARE_MS,
+    fn should_request_all(&self, heartbeat: &PeerHeartbeat, own_region: &str, now: Moment) -> bool {
+        let missing = self.missing_hosts(heartbeat, own_region);
+        let is_local = self.is_host_in_region(&heartbeat.host, own_region);
+        let interval_ms = match missing {
+            MissingHosts::None => return false,
+            MissingHosts::Local => REQUEST_RETRY_MS,
+            MissingHosts::Any if is_local => REQUEST_RETRY_MS,
+            MissingHosts::Any => REMOTE_REQUEST_INTERVAL_MS,
         };
-        let Some(asked) = self.reconcile.asked_all else {
+        let Some(last_request) = self.reconcile.last_full_request else {
             return true;
         };
-        let in_vain = self.reconcile.asked_in_vain;
-        let doublings = in_vain.saturating_sub(ASKED_AT_FIRST);
-        let gap_ms = gap_ms << doublings.min(MAX_GAP_DOUBLINGS);
-        let knows_more = is_near && heartbeat.known_hosts > self.reconcile.asked_count;
-        knows_more || now.since(asked) >= gap_ms
+        let fruitless = self.reconcile.fruitless_requests;
+        let doublings = fruitless.saturating_sub(REQUESTS_BEFORE_BACKOFF);
+        let interval_ms = interval_ms << doublings.min(MAX_BACKOFF_DOUBLINGS);
+        let knows_more = is_local && heartbeat.known_hosts > self.reconcile.last_target_count;
+        knows_more || now.since(last_request) >= interval_ms
     }
 
-    fn is_of_region(&self, name: &str, region: &str) -> bool {
+    fn is_host_in_region(&self, name: &str, region: &str) -> bool {
         let peer = self.peers.get(name);
         peer.is_some_and(|peer| peer.record.region == region)
     }
 
     /// Describes the hosts known here, for a request to a host that knows `target_count` hosts.
-    fn known_for_all(&mut self, own_hash: u32, asked_count: u32, now: Moment) -> KnownSlice {
+    fn known_slice(&mut self, own_hash: u32, target_count: u32, now: Moment) -> KnownSlice {
         let state = &mut self.reconcile;
-        if state.asked_all.replace(now).is_some() {
-            state.asked_in_vain += 1;
+        if state.last_full_request.replace(now).is_some() {
+            state.fruitless_requests += 1;
         }
-        state.asked_count = asked_count;
-        state.questions = state.questions.wrapping_add(1);
-        let salt = state.questions;
-        let known = u32::try_from(self.names.len()).unwrap_or(u32::MAX);
+        state.last_target_count = target_count;
+        state.full_requests = state.full_requests.wrapping_add(1);
+        let salt = state.full_requests;
+        let known = u32::try_from(self.names_by_hash.len()).unwrap_or(u32::MAX);
         let parts = known.div_ceil(MARKS_PER_DATAGRAM).max(1);
         let part = salt % parts;
-        let hashes = self.names.keys().chain([&own_hash]).copied();
+        let hashes = self.names_by_hash.keys().chain([&own_hash]).copied();
         let hashes = hashes.filter(|hash| hash % parts == part);
         KnownSlice {
             salt,
@@ -178,10 +178,10 @@
         }
     }
 
-    fn knows_run(&self, told: &HeardHost) -> bool {
-        let name = self.names.get(&told.name_hash);
+    fn knows_run(&self, status: &HeardHost) -> bool {
+        let name = self.names_by_hash.get(&status.name_hash);
         let known = name.and_then(|name| self.peers.get(name));
-        known.is_some_and(|known| run_low(known.record.run) == told.run_low)
+        known.is_some_and(|known| run_low(known.record.run) == status.run_low)
     }
 
     /// The requested hosts, possibly `own` among them, and some others that the requester is
@@ -199,18 +199,18 @@
             heard: None,
         });
         let names = request.unknown.iter();
-        let names = names.filter_map(|hash| self.names.get(hash));
-        let asked = names.filter_map(|name| self.peers.get(name));
-        let known = asked.chain(self.lacking(request, now));
+        let names = names.filter_map(|hash| self.names_by_hash.get(hash));
+        let requested = names.filter_map(|name| self.peers.get(name));
+        let known = requested.chain(self.extra_hosts(request, now));
         let known = known.map(|peer| KnownHost {
             record: peer.record.clone(),
-            heard: peer.told(TOLD_AGAIN_MS, now),
+            heard: peer.status(MAX_REPORTED_AGE_MS, now),
         });
         known.chain(own).collect()
     }
 
     /// Recently seen hosts that the requester does not know.
-    fn lacking<'a>(
+    fn extra_hosts<'a>(
         &'a self,
         request: &'a WhoIsRequest,
         now: Moment,
@@ -223,9 +223,9 @@
                 hash.checked_rem(slice.parts) == Some(slice.part)
                     && !known.contains(&mark_of(hash, slice.salt))
                     && !request.unknown.contains(&hash)
-                    && peer.is_heard(now, TOLD_AGAIN_MS)
+                    && peer.is_alive(now, MAX_REPORTED_AGE_MS)
             });
-            peers.take(RECORDS_BESIDE)
+            peers.take(MAX_EXTRA_RECORDS)
         })
     }
 }
--- a/src/entry/peers/region_size.rs
+++ b/src/entry/peers/region_size.rs
@@ -10,15 +10,15 @@
 
 /// How long a reported region size stays valid, in milliseconds: several times the interval at
 /// which each host receives a report from a host that knows all others.
-const TOLD_SIZE_MS: u64 = 60_000;
+const REPORTED_SIZE_TTL_MS: u64 = 60_000;
 /// Host count used until all hosts are known. It is so large that the fixed share of any limit is
 /// worth no request; with a smaller number, the shares of a larger deployment would exceed the
 /// limit in total.
-const UNLISTED_HOSTS: u32 = u32::MAX;
+const UNKNOWN_HOST_COUNT: u32 = u32::MAX;
 
 /// Size of a region as reported by another host.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ToldSize {
+pub(super) struct ReportedSize {
     pub(super) hosts: u32,
     at: Moment,
 }
@@ -35,15 +35,15 @@
     /// shares.
     #[must_use]
     pub fn host_count(&self) -> u32 {
-        if !self.listed {
-            return UNLISTED_HOSTS;
+        if !self.membership_complete {
+            return UNKNOWN_HOST_COUNT;
         }
-        let told = self.told_sizes.iter().map(|(region, told)| {
+        let reported = self.reported_sizes.iter().map(|(region, reported)| {
             let known = self.region_counts.get(region).copied().unwrap_or(0);
             // The reported count may include this host.
-            told.hosts.saturating_sub(known + 1)
+            reported.hosts.saturating_sub(known + 1)
         });
-        let unknown = told.sum::<u32>();
+        let unknown = reported.sum::<u32>();
         self.known_count().saturating_add(unknown)
     }
 
@@ -55,9 +55,9 @@
     pub fn hosts_by_region(&self, own_region: &str) -> collections::BTreeMap<String, u32> {
         let mut counts = self.region_counts.clone();
         *counts.entry(own_region.to_owned()).or_default() += 1;
-        for (region, told) in &self.told_sizes {
+        for (region, reported) in &self.reported_sizes {
             let count = counts.entry(region.clone()).or_default();
-            *count = told.hosts.max(*count);
+            *count = reported.hosts.max(*count);
         }
         counts
     }
@@ -65,16 +65,16 @@
     /// Applies region sizes reported by another host.
     pub fn on_told_sizes(&mut self, sizes: &[RegionSize], now: Moment) {
         for size in sizes {
-            self.on_told_size(&size.region, size.hosts, now);
+            self.on_reported_size(&size.region, size.hosts, now);
         }
     }
 
-    pub(super) fn on_told_size(&mut self, region: &str, hosts: u32, now: Moment) {
-        let told = self.told_sizes.get(region);
-        let is_over = |told: &ToldSize| now.since(told.at) > TOLD_SIZE_MS;
-        if told.is_none_or(|told| hosts >= told.hosts || is_over(told)) {
-            let size = ToldSize { hosts, at: now };
-            self.told_sizes.insert(region.to_owned(), size);
+    pub(super) fn on_reported_size(&mut self, region: &str, hosts: u32, now: Moment) {
+        let reported = self.reported_sizes.get(region);
+        let is_expired = |size: &ReportedSize| now.since(size.at) > REPORTED_SIZE_TTL_MS;
+        if reported.is_none_or(|size| hosts >= size.hosts || is_expired(size)) {
+            let size = ReportedSize { hosts, at: now };
+            self.reported_sizes.insert(region.to_owned(), size);
         }
     }
 
@@ -89,11 +89,11 @@
     /// others it reports only its own count, because relayed sizes would never shrink.
     #[must_use]
     pub fn told_region_size(&self, region: &str) -> u32 {
-        if self.listed {
+        if self.membership_complete {
             return self.region_size(region);
         }
-        match self.told_sizes.get(region) {
-            Some(told) if told.hosts > 0 => told.hosts.max(self.region_size(region)),
+        match self.reported_sizes.get(region) {
+            Some(reported) if reported.hosts > 0 => reported.hosts.max(self.region_size(region)),
             _ => 0,
         }
     }
--- a/src/entry/peers/suspect_keepers.rs
+++ b/src/entry/peers/suspect_keepers.rs
@@ -42,8 +42,8 @@
 
     fn live_records(&self, now: Moment) -> impl Iterator<Item = &HostRecord> {
         let live = self.peers.values().filter(move |peer| {
-            let silent_ms = self.silent_ms(&peer.record.region);
-            peer.may_live(now, silent_ms) && !peer.leaving
+            let timeout_ms = self.timeout_ms(&peer.record.region);
+            peer.may_be_alive(now, timeout_ms) && !peer.leaving
         });
         live.map(|peer| &peer.record)
     }
--- a/src/entry/peers/targets.rs
+++ b/src/entry/peers/targets.rs
@@ -9,27 +9,27 @@
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom as _;
 
-use super::{HostRecord, PeerEntry, PeerTable, REMOVE_MS};
+use super::{HostRecord, PeerEntry, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::hash;
 use crate::entry::peer_message::WatchState;
 use crate::timer::Moment;
 
 /// Maximum number of hosts of the own region that each heartbeat goes to. With eight, a status has
 /// reached 80 other hosts after two rounds and 470 after three (Demers et al., 1987).
-pub const NEAR_TARGETS: usize = 8;
+pub const HEARTBEAT_FANOUT: usize = 8;
 /// Number of hosts to which a new configuration is first announced. A watcher on a link of 10
 /// Mbit/s can send the configuration to a few of them within a tenth of a second.
-const ANNOUNCE_TARGETS: usize = 16;
+const ANNOUNCE_FANOUT: usize = 16;
 /// Hosts of each other region that relay host updates. With two, one host or datagram may be lost.
-const RELAY_TARGETS: usize = 2;
+const RELAYS_PER_REGION: usize = 2;
 /// Hosts of each other region that a host notifies when it is among the first to serve after a
 /// start. One would be enough, but some may not have started yet.
-const START_TARGETS: usize = 3;
+const START_TARGETS_PER_REGION: usize = 3;
 /// Number of hosts of other regions that each heartbeat goes to.
-const FAR_TARGETS: usize = 2;
+const REMOTE_HEARTBEAT_FANOUT: usize = 2;
 /// Hosts of each other hall that relay fleet updates to their hall. With two, one of them may have
 /// just crashed.
-pub const NEWS_RELAYS: usize = 2;
+pub const RELAYS_PER_HALL: usize = 2;
 
 /// Recipients of a fleet update.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -44,17 +44,17 @@
     /// Random hosts of the own region that a heartbeat goes to. The others learn of it by gossip.
     #[must_use]
     pub fn near_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
-        self.near_addresses(region)
-            .choose_multiple(random, NEAR_TARGETS)
+        self.region_addresses(region)
+            .choose_multiple(random, HEARTBEAT_FANOUT)
     }
 
     /// Random hosts of other regions that a heartbeat goes to. The others learn of it by gossip.
     #[must_use]
     pub fn far_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let peers = self.peers.values();
-        let far = peers.filter(|peer| peer.record.region != region);
-        let far = far.map(|peer| peer.record.heartbeat_address);
-        far.choose_multiple(random, FAR_TARGETS)
+        let remote = peers.filter(|peer| peer.record.region != region);
+        let remote = remote.map(|peer| peer.record.heartbeat_address);
+        remote.choose_multiple(random, REMOTE_HEARTBEAT_FANOUT)
     }
 
     /// Recipients of a message that spreads by gossip: some hosts of the own region and a few of
@@ -70,17 +70,18 @@
     /// own watchers, or ask when a heartbeat shows that they are behind.
     #[must_use]
     pub fn all_near(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
-        let far = self.far_targets(region, random);
-        self.near_addresses(region).chain(far).collect()
+        let remote = self.far_targets(region, random);
+        self.region_addresses(region).chain(remote).collect()
     }
 
     /// First recipients of the announcement of a new configuration. In a large region, hosts that
     /// have fetched the configuration announce it further, so that not all fetch from one host.
     #[must_use]
     pub fn some_near(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
-        let near = self.near_addresses(region);
-        let near = near.choose_multiple(random, ANNOUNCE_TARGETS);
-        near.into_iter()
+        let local = self.region_addresses(region);
+        let local = local.choose_multiple(random, ANNOUNCE_FANOUT);
+        local
+            .into_iter()
             .chain(self.far_targets(region, random))
             .collect()
     }
@@ -89,43 +90,43 @@
     /// region, and the largest hosts of each other region, which relay it there.
     #[must_use]
     pub fn start_targets(&self, region: &str) -> Vec<net::SocketAddr> {
-        let mut far: Vec<_> = self
+        let mut remote: Vec<_> = self
             .records()
             .filter(|peer| peer.region != region)
             .collect();
-        far.sort_by_key(|peer| (&peer.region, cmp::Reverse(peer.processor_milli), &peer.name));
-        let regions = far.chunk_by(|a, b| a.region == b.region);
-        let far = regions.flat_map(|hosts| hosts.iter().take(START_TARGETS));
-        let far = far.map(|peer| peer.heartbeat_address);
-        self.near_addresses(region).chain(far).collect()
+        remote.sort_by_key(|peer| (&peer.region, cmp::Reverse(peer.processor_milli), &peer.name));
+        let regions = remote.chunk_by(|a, b| a.region == b.region);
+        let remote = regions.flat_map(|hosts| hosts.iter().take(START_TARGETS_PER_REGION));
+        let remote = remote.map(|peer| peer.heartbeat_address);
+        self.region_addresses(region).chain(remote).collect()
     }
 
     /// All known hosts of a region.
     #[must_use]
     pub fn region_targets(&self, region: &str) -> Vec<net::SocketAddr> {
-        self.near_addresses(region).collect()
+        self.region_addresses(region).collect()
     }
 
     /// Hosts of each region except `region` that relay updates there: the largest that were seen
     /// recently, else the largest that are known.
     #[must_use]
     pub fn relay_targets(&self, region: &str, now: Moment) -> Vec<net::SocketAddr> {
-        let mut far: Vec<_> = self.peers.values().collect();
-        far.retain(|peer| peer.record.region != region && !peer.leaving);
-        far.sort_by_key(|peer| {
-            let is_silent = !peer.is_heard(now, REMOVE_MS);
+        let mut remote: Vec<_> = self.peers.values().collect();
+        remote.retain(|peer| peer.record.region != region && !peer.leaving);
+        remote.sort_by_key(|peer| {
+            let is_silent = !peer.is_alive(now, REMOVE_TIMEOUT_MS);
             let record = &peer.record;
             (&record.region, is_silent, record.watch_order())
         });
-        let regions = far.chunk_by(|a, b| a.record.region == b.record.region);
-        let far = regions.flat_map(|hosts| hosts.iter().take(RELAY_TARGETS));
-        far.map(|peer| peer.record.heartbeat_address).collect()
+        let regions = remote.chunk_by(|a, b| a.record.region == b.record.region);
+        let remote = regions.flat_map(|hosts| hosts.iter().take(RELAYS_PER_REGION));
+        remote.map(|peer| peer.record.heartbeat_address).collect()
     }
 
     /// Whether [`Self::announce_targets`] leaves out part of the region.
     #[must_use]
     pub fn must_pass_on(&self, region: &str) -> bool {
-        self.near(region).count() > ANNOUNCE_TARGETS
+        self.in_region(region).count() > ANNOUNCE_FANOUT
     }
 
     /// Recipients of a host update that `own` has observed in the store. Each watcher of the region
@@ -135,7 +136,7 @@
     pub fn news_targets(&self, own: &HostRecord, now: Moment) -> Vec<net::SocketAddr> {
         let watchers = self.watcher_hashes(&own.region, now);
         let own_hash = hash::of_name(&own.name);
-        let targets = self.near(&own.region).filter(|target| {
+        let targets = self.in_region(&own.region).filter(|target| {
             let target = hash::of_name(&target.record.name);
             let own_rank = hash::mix(own_hash ^ target);
             watchers
@@ -154,26 +155,26 @@
     pub fn fleet_news_targets(&self, own: &HostRecord, now: Moment) -> NewsTargets {
         let watchers = self.watcher_hashes(&own.region, now);
         let own_hash = hash::of_name(&own.name);
-        let is_own_part = |hall: &str| {
+        let is_own_share = |hall: &str| {
             let hall = hash::of_name(hall);
             let own_rank = hash::mix(own_hash ^ hall);
             let mut others = watchers.iter();
             others.all(|watcher| own_rank <= hash::mix(watcher ^ hall))
         };
-        let mut near: Vec<&PeerEntry> = self.near(&own.region).collect();
-        near.retain(|peer| is_own_part(&peer.record.hall));
-        near.sort_by_key(|peer| (&peer.record.hall, peer.record.watch_order()));
-        let silent_ms = self.silent_ms(&own.region);
+        let mut local: Vec<&PeerEntry> = self.in_region(&own.region).collect();
+        local.retain(|peer| is_own_share(&peer.record.hall));
+        local.sort_by_key(|peer| (&peer.record.hall, peer.record.watch_order()));
+        let timeout_ms = self.timeout_ms(&own.region);
         let mut targets = NewsTargets::default();
-        for hall in near.chunk_by(|a, b| a.record.hall == b.record.hall) {
+        for hall in local.chunk_by(|a, b| a.record.hall == b.record.hall) {
             let is_own = hall.iter().any(|peer| peer.record.hall == own.hall);
-            if is_own || hall.len() <= NEWS_RELAYS {
+            if is_own || hall.len() <= RELAYS_PER_HALL {
                 targets.direct.extend(addresses(hall.iter().copied()));
                 continue;
             }
-            let live = hall.iter().filter(|peer| peer.stays(now, silent_ms));
-            let relays: Vec<_> = addresses(live.copied().take(NEWS_RELAYS)).collect();
-            if relays.len() < NEWS_RELAYS {
+            let live = hall.iter().filter(|peer| peer.is_active(now, timeout_ms));
+            let relays: Vec<_> = addresses(live.copied().take(RELAYS_PER_HALL)).collect();
+            if relays.len() < RELAYS_PER_HALL {
                 targets.direct.extend(addresses(hall.iter().copied()));
             } else {
                 targets.relays.extend(relays);
@@ -185,8 +186,8 @@
     /// The other hosts in the hall of `own`.
     #[must_use]
     pub fn hall_targets(&self, own: &HostRecord) -> Vec<net::SocketAddr> {
-        let near = self.near(&own.region);
-        let hall = near.filter(|peer| peer.record.hall == own.hall);
+        let local = self.in_region(&own.region);
+        let hall = local.filter(|peer| peer.record.hall == own.hall);
         addresses(hall).collect()
     }
 
@@ -201,29 +202,30 @@
         random: &mut SmallRng,
     ) -> Option<net::SocketAddr> {
         let others = self.peers.values().filter(|peer| {
-            let silent_ms = self.silent_ms(&peer.record.region);
-            peer.stays(now, silent_ms) && peer.record.peer_address != source
+            let timeout_ms = self.timeout_ms(&peer.record.region);
+            peer.is_active(now, timeout_ms) && peer.record.peer_address != source
         });
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|peer| peer.record.region == region);
-        let other = near.into_iter().choose(random);
-        let other = other.or_else(|| far.into_iter().choose(random));
+        let (local, remote): (Vec<_>, Vec<_>) =
+            others.partition(|peer| peer.record.region == region);
+        let other = local.into_iter().choose(random);
+        let other = other.or_else(|| remote.into_iter().choose(random));
         other.map(|peer| peer.record.peer_address)
     }
 
     /// Name hashes of the other hosts of `region` that currently watch the store.
     fn watcher_hashes(&self, region: &str, now: Moment) -> Vec<u64> {
-        let silent_ms = self.silent_ms(region);
+        let timeout_ms = self.timeout_ms(region);
         let watchers = self
-            .near(region)
-            .filter(|peer| peer.watch == WatchState::Watching && peer.stays(now, silent_ms));
+            .in_region(region)
+            .filter(|peer| peer.watch == WatchState::Watching && peer.is_active(now, timeout_ms));
         watchers
             .map(|peer| hash::of_name(&peer.record.name))
             .collect()
     }
 
-    fn near_addresses<'a>(&'a self, region: &'a str) -> impl Iterator<Item = net::SocketAddr> {
-        let near = self.near(region);
-        near.map(|peer| peer.record.heartbeat_address)
+    fn region_addresses<'a>(&'a self, region: &'a str) -> impl Iterator<Item = net::SocketAddr> {
+        let local = self.in_region(region);
+        local.map(|peer| peer.record.heartbeat_address)
     }
 }
 
--- a/src/entry/peers/watchers.rs
+++ b/src/entry/peers/watchers.rs
@@ -7,7 +7,7 @@
 
 use std::{cmp, collections};
 
-use super::{HostRecord, PeerTable, REMOVE_MS};
+use super::{HostRecord, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::hash;
 use crate::entry::peer_message::WatchState;
 use crate::timer::Moment;
@@ -17,22 +17,22 @@
 /// Maximum number of hosts of a region that call the store, however many hosts ranked before them
 /// cannot reach it. During an outage of the store, the others wait for updates from these. If the
 /// store refuses a third of the hosts, at least one of six is served with a probability of 0.998.
-const MOST_WATCHERS: usize = 6;
+const MAX_WATCHERS_PER_REGION: usize = 6;
 
 impl PeerTable {
     /// Whether `own` watches the store for its region: fewer than [`WATCHERS_PER_REGION`] hosts
     /// rank before it that may be alive and do not report that they cannot reach the store.
     #[must_use]
     pub fn is_watcher(&self, own: &HostRecord, now: Moment) -> bool {
-        let silent_ms = self.silent_ms(&own.region);
-        let before = self.near(&own.region).filter(|peer| {
+        let timeout_ms = self.timeout_ms(&own.region);
+        let before = self.in_region(&own.region).filter(|peer| {
             peer.record.watch_order() < own.watch_order()
-                && peer.may_live(now, silent_ms)
+                && peer.may_be_alive(now, timeout_ms)
                 && !peer.leaving
         });
-        let (blind, sighted): (Vec<_>, Vec<_>) =
+        let (unable, able): (Vec<_>, Vec<_>) =
             before.partition(|peer| peer.watch == WatchState::Blind);
-        sighted.len() < WATCHERS && blind.len() + sighted.len() < MOST_WATCHERS
+        able.len() < WATCHERS && unable.len() + able.len() < MAX_WATCHERS_PER_REGION
     }
 }
 
@@ -46,11 +46,11 @@
     /// The first live host by rank in the region of `own`; `None` if that is `own`.
     #[must_use]
     pub fn first_watcher(&self, own: &HostRecord, now: Moment) -> Option<&HostRecord> {
-        let silent_ms = self.silent_ms(&own.region);
+        let timeout_ms = self.timeout_ms(&own.region);
         let before = self.peers.values().filter(|peer| {
             peer.record.region == own.region
                 && peer.record.watch_order() < own.watch_order()
-                && peer.stays(now, silent_ms)
+                && peer.is_active(now, timeout_ms)
         });
         let records = before.map(|peer| &peer.record);
         records.min_by_key(|record| record.watch_order())
@@ -60,7 +60,7 @@
     #[must_use]
     pub fn other_live_regions(&self, region: &str, now: Moment) -> collections::BTreeSet<&str> {
         let live = self.peers.values().filter(|peer| {
-            peer.record.region != region && peer.is_heard(now, REMOVE_MS) && !peer.leaving
+            peer.record.region != region && peer.is_alive(now, REMOVE_TIMEOUT_MS) && !peer.leaving
         });
         live.map(|peer| peer.record.region.as_str()).collect()
     }
--- a/tests/entry_news.rs
+++ b/tests/entry_news.rs
@@ -7,25 +7,25 @@
 use std::net::SocketAddr;
 
 use ledgespool::entry::peer_message::WatchState;
-use ledgespool::entry::peers::{HostRecord, NEWS_RELAYS, PeerTable};
+use ledgespool::entry::peers::{HostRecord, PeerTable, RELAYS_PER_HALL};
 use ledgespool::timer::Moment;
 
 const HALLS: [&str; 3] = ["east", "north", "west"];
 
 /// A region whose halls have `per_hall` hosts each. The first host of each of the first two halls
 /// watches the store.
-struct NewsRegion {
+struct SimulatedRegion {
     hosts: Vec<HostRecord>,
     tables: BTreeMap<SocketAddr, PeerTable>,
 }
 
-/// The hosts that got the update, and the number of datagrams that crossed between halls.
-struct NewsPlay {
+/// The hosts that got the update, and the number of datagrams that hall_crossings between halls.
+struct UpdateSpread {
     reached: BTreeSet<SocketAddr>,
-    crossed: usize,
+    hall_crossings: usize,
 }
 
-impl NewsRegion {
+impl SimulatedRegion {
     fn with_hosts(per_hall: usize) -> Self {
         let hosts: Vec<HostRecord> = (0..per_hall * HALLS.len())
             .map(|number| {
@@ -43,7 +43,7 @@
         for own in &hosts {
             let mut table = PeerTable::default();
             for peer in hosts.iter().filter(|peer| peer.name != own.name) {
-                let watch = if Self::watches(peer) {
+                let watch = if Self::is_watcher(peer) {
                     WatchState::Watching
                 } else {
                     WatchState::Idle
@@ -55,7 +55,7 @@
         Self { hosts, tables }
     }
 
-    fn watches(host: &HostRecord) -> bool {
+    fn is_watcher(host: &HostRecord) -> bool {
         ["h-0", "h-1"].contains(&host.name.as_str())
     }
 
@@ -66,40 +66,44 @@
     }
 
     /// Each watcher sends to its share of the halls. Hosts in `dead` neither receive nor relay.
-    fn play(&self, dead: &BTreeSet<SocketAddr>) -> NewsPlay {
-        let mut play = NewsPlay {
+    fn spread_update(&self, dead: &BTreeSet<SocketAddr>) -> UpdateSpread {
+        let mut spread = UpdateSpread {
             reached: BTreeSet::new(),
-            crossed: 0,
+            hall_crossings: 0,
         };
-        for own in self.hosts.iter().filter(|host| Self::watches(host)) {
-            play.reached.insert(own.heartbeat_address);
+        for own in self.hosts.iter().filter(|host| Self::is_watcher(host)) {
+            spread.reached.insert(own.heartbeat_address);
             let table = &self.tables[&own.heartbeat_address];
             let targets = table.fleet_news_targets(own, Moment(0));
             for target in targets.direct.iter().chain(&targets.relays) {
-                play.crossed += usize::from(self.hall_of(*target) != own.hall);
+                spread.hall_crossings += usize::from(self.hall_of(*target) != own.hall);
             }
             let live = |target: &&SocketAddr| !dead.contains(target);
-            play.reached.extend(targets.direct.iter().filter(live));
+            spread.reached.extend(targets.direct.iter().filter(live));
             for relay in targets.relays.iter().filter(live) {
                 let mut hosts = self.hosts.iter();
                 let record = hosts.find(|host| host.heartbeat_address == *relay);
-                let passed_on = self.tables[relay].hall_targets(record.expect("a host"));
-                play.reached.insert(*relay);
-                play.reached.extend(passed_on.iter().filter(live));
+                let relayed = self.tables[relay].hall_targets(record.expect("a host"));
+                spread.reached.insert(*relay);
+                spread.reached.extend(relayed.iter().filter(live));
             }
         }
-        play
+        spread
     }
 }
 
 #[test]
-fn news_reaches_every_host_and_crosses_between_halls_as_often_whatever_their_number() {
+fn an_update_reaches_every_host_with_a_bounded_number_of_hall_crossings() {
     for per_hall in [1, 2, 3, 14, 110, 291] {
-        let region = NewsRegion::with_hosts(per_hall);
-        let play = region.play(&BTreeSet::new());
-        assert_eq!(play.reached.len(), region.hosts.len(), "{per_hall} a hall");
+        let region = SimulatedRegion::with_hosts(per_hall);
+        let spread = region.spread_update(&BTreeSet::new());
+        assert_eq!(
+            spread.reached.len(),
+            region.hosts.len(),
+            "{per_hall} a hall"
+        );
         assert!(
-            play.crossed <= NEWS_RELAYS * HALLS.len(),
+            spread.hall_crossings <= RELAYS_PER_HALL * HALLS.len(),
             "{per_hall} a hall"
         );
     }
@@ -107,18 +111,22 @@
 
 /// A crashed host counts as alive for a few seconds, so it may still be chosen as a relay.
 #[test]
-fn news_reaches_every_other_host_though_one_that_passes_it_on_has_just_ended_in_each_hall() {
-    let region = NewsRegion::with_hosts(14);
-    for own in region.hosts.iter().filter(|host| NewsRegion::watches(host)) {
+fn an_update_reaches_every_live_host_although_one_relay_per_hall_has_crashed() {
+    let region = SimulatedRegion::with_hosts(14);
+    for own in region
+        .hosts
+        .iter()
+        .filter(|host| SimulatedRegion::is_watcher(host))
+    {
         let targets = region.tables[&own.heartbeat_address].fleet_news_targets(own, Moment(0));
-        let mut ended: BTreeMap<&str, SocketAddr> = BTreeMap::new();
+        let mut crashed: BTreeMap<&str, SocketAddr> = BTreeMap::new();
         for relay in &targets.relays {
-            ended.insert(region.hall_of(*relay), *relay);
+            crashed.insert(region.hall_of(*relay), *relay);
         }
-        let ended: BTreeSet<SocketAddr> = ended.into_values().collect();
-        let play = region.play(&ended);
+        let crashed: BTreeSet<SocketAddr> = crashed.into_values().collect();
+        let spread = region.spread_update(&crashed);
         let hosts = region.hosts.iter().map(|host| host.heartbeat_address);
-        let missed = hosts.filter(|host| !ended.contains(host) && !play.reached.contains(host));
+        let missed = hosts.filter(|host| !crashed.contains(host) && !spread.reached.contains(host));
         assert_eq!(missed.count(), 0);
     }
 }
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -8,7 +8,7 @@
 use ledgespool::entry::budget::{RetryShare, RetryWindow};
 use ledgespool::entry::peer_message::{self, HeardHost, PeerHeartbeat, PeerMessage, WatchState};
 use ledgespool::entry::peers::{
-    HostRecord, INDIRECT_SILENT_MS, NEAR_TARGETS, PeerChange, PeerTable, SILENT_MS, WATCHERS,
+    HEARTBEAT_FANOUT, HostRecord, INDIRECT_SILENT_MS, PeerChange, PeerTable, SILENT_MS, WATCHERS,
 };
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_host_is_named_while_it_is_heard_ready_and_stays() {
+fn a_host_is_advertised_while_alive_ready_and_not_leaving() {
     let mut peers = PeerTable::default();
     let other = host("b", "one", 200);
     assert!(peers.named_for("one", None, Moment(0)).addresses.is_empty());
     peers.on_record(&other, Moment(0));
     assert!(
         peers.named_for("one", None, Moment(0)).addresses.is_empty(),
-        "known is not heard"
+        "a known host is not yet a live one"
     );
     let beat = heartbeat(&other, WatchState::Idle);
     assert_eq!(peers.on_heartbeat(&beat, Moment(0)), PeerChange::Heard);
@@ -66,19 +66,19 @@
             .named_for("one", None, Moment(11))
             .addresses
             .is_empty(),
-        "a late datagram undoes nothing"
+        "a late datagram does not revert leaving"
     );
     let again = HostRecord { run: 2, ..other };
     peers.on_heartbeat(&heartbeat(&again, WatchState::Idle), Moment(12));
     assert_eq!(
         peers.named_for("one", None, Moment(12)).addresses.len(),
         1,
-        "a new run may come"
+        "a new run is advertised again"
     );
 }
 
 #[test]
-fn hosts_of_other_regions_are_named_as_a_stopgap_only() {
+fn hosts_of_other_regions_are_advertised_only_without_local_ones() {
     let mut peers = PeerTable::default();
     let far = host("far", "two", 200);
     peers.on_heartbeat(&heartbeat(&far, WatchState::Idle), Moment(0));
@@ -90,20 +90,20 @@
 }
 
 /// A region with more hosts than a heartbeat goes to, of which only the first has sent a heartbeat.
-fn large_region(heard: &[HeardHost]) -> PeerTable {
+fn large_region(statuses: &[HeardHost]) -> PeerTable {
     let mut peers = PeerTable::default();
     for number in 0..20 {
         peers.on_record(&host(&format!("h-{number:02}"), "one", 200), Moment(0));
     }
     let beat = PeerHeartbeat {
-        heard: heard.to_vec(),
+        heard: statuses.to_vec(),
         ..heartbeat(&host("h-00", "one", 200), WatchState::Idle)
     };
     peers.on_heartbeat(&beat, Moment(10_000));
     peers
 }
 
-fn told(name: &str, age_tenths: u8) -> HeardHost {
+fn status(name: &str, age_tenths: u8) -> HeardHost {
     HeardHost {
         name_hash: xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32,
         run_low: 1,
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_host_is_named_when_others_have_heard_it() {
-    let peers = large_region(&[told("h-07", 10)]);
+fn a_host_is_advertised_when_others_report_it_alive() {
+    let peers = large_region(&[status("h-07", 10)]);
     assert_eq!(
         peers.named_for("one", None, Moment(10_000)).addresses.len(),
         2
@@ -124,17 +124,17 @@
     assert_eq!(
         peers.named_for("one", None, later).addresses.len(),
         1,
-        "its age counts from when it spoke itself"
+        "the age counts from the host's own heartbeat"
     );
 }
 
 #[test]
-fn the_word_of_an_earlier_run_tells_nothing_of_this_one() {
+fn the_status_of_an_earlier_run_is_ignored() {
     let earlier = HeardHost {
         run_low: 0,
-        ..told("h-07", 0)
+        ..status("h-07", 0)
     };
-    let peers = large_region(&[earlier, told("unknown", 0)]);
+    let peers = large_region(&[earlier, status("unknown", 0)]);
     assert_eq!(
         peers.named_for("one", None, Moment(10_000)).addresses.len(),
         1
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn what_a_host_sends_does_not_grow_with_the_number_of_hosts() {
+fn heartbeat_traffic_does_not_grow_with_the_number_of_hosts() {
     let mut random = SmallRng::seed_from_u64(7);
     let mut peers = PeerTable::default();
     for number in 0..470 {
@@ -150,40 +150,43 @@
         let record = host(&format!("h-{number:03}"), region, 200);
         peers.on_heartbeat(&heartbeat(&record, WatchState::Idle), Moment(0));
     }
-    let near = peers.near_targets("one", &mut random).len();
-    let far = peers.far_targets("one", &mut random).len();
-    assert!(near <= NEAR_TARGETS && far <= 2, "{near} and {far}");
+    let local = peers.near_targets("one", &mut random).len();
+    let remote = peers.far_targets("one", &mut random).len();
+    assert!(
+        local <= HEARTBEAT_FANOUT && remote <= 2,
+        "{local} and {remote}"
+    );
     let beat = PeerHeartbeat {
         heard: peers.heard_lately("one", Moment(0)),
         ..heartbeat(&host("h-000", "one", 200), WatchState::Idle)
     };
     let bytes = |beat: PeerHeartbeat| {
         let written = peer_message::to_bytes(&PeerMessage::Heartbeat(Box::new(beat)));
-        written.expect("it is written").len()
+        written.expect("the message is encoded").len()
     };
     let short = PeerHeartbeat {
         record: None,
         ..beat.clone()
     };
-    let far_short = short.for_other_regions();
+    let remote_short = short.for_other_regions();
     // Two heartbeats per second, one in four with the record.
-    let a_round = near * bytes(short) + far * bytes(far_short);
-    let with_record = (near + far) * bytes(beat);
-    let per_second = 2 * (3 * a_round + with_record) / 4;
+    let per_round = local * bytes(short) + remote * bytes(remote_short);
+    let with_record = (local + remote) * bytes(beat);
+    let per_second = 2 * (3 * per_round + with_record) / 4;
     assert!(per_second < 10_000, "{per_second} bytes a second");
 }
 
 /// Hosts of one region that exchange heartbeats in simulated time.
-struct HearsayRegion {
+struct GossipRegion {
     records: Vec<HostRecord>,
     tables: Vec<PeerTable>,
     random: SmallRng,
 }
 
-impl HearsayRegion {
-    const BEAT_MS: u64 = 500;
+impl GossipRegion {
+    const HEARTBEAT_INTERVAL_MS: u64 = 500;
     /// Maximum network latency between two halls.
-    const WAY_MS: u64 = 20;
+    const MAX_LATENCY_MS: u64 = 20;
 
     fn with_hosts(count: u16) -> Self {
         let record = |number: u16| HostRecord {
@@ -208,20 +211,20 @@
     }
 
     /// Lets each host send heartbeats at its own phase until `until_ms`; the first host stops at
-    /// `dies_ms`.
-    fn run(&mut self, from_ms: u64, until_ms: u64, dies_ms: u64) {
+    /// `crash_ms`.
+    fn run(&mut self, from_ms: u64, until_ms: u64, crash_ms: u64) {
         for millis in from_ms..until_ms {
             for number in 0..self.records.len() {
-                let phase = number as u64 * 37 % Self::BEAT_MS;
-                let dead = number == 0 && millis > dies_ms;
-                if millis % Self::BEAT_MS == phase && !dead {
-                    self.beat(number, millis, dies_ms);
+                let phase = number as u64 * 37 % Self::HEARTBEAT_INTERVAL_MS;
+                let dead = number == 0 && millis > crash_ms;
+                if millis % Self::HEARTBEAT_INTERVAL_MS == phase && !dead {
+                    self.send_heartbeat(number, millis, crash_ms);
                 }
             }
         }
     }
 
-    fn beat(&mut self, number: usize, millis: u64, dies_ms: u64) {
+    fn send_heartbeat(&mut self, number: usize, millis: u64, crash_ms: u64) {
         let table = &self.tables[number];
         let beat = PeerHeartbeat {
             record: None,
@@ -230,15 +233,15 @@
         };
         for target in table.near_targets("one", &mut self.random) {
             let target = usize::from(target.port() - 1_000);
-            if target != 0 || millis <= dies_ms {
-                let arrives = Moment(millis + self.random.random_range(1..=Self::WAY_MS));
+            if target != 0 || millis <= crash_ms {
+                let arrives = Moment(millis + self.random.random_range(1..=Self::MAX_LATENCY_MS));
                 self.tables[target].on_heartbeat(&beat, arrives);
             }
         }
     }
 
     /// Number of hosts, without the first, that advertise host `number` to callers.
-    fn naming(&self, number: usize, millis: u64) -> usize {
+    fn advertising(&self, number: usize, millis: u64) -> usize {
         let address = self.records[number].caller_address;
         let others = (1..self.tables.len()).filter(|other| *other != number);
         others
@@ -252,27 +255,27 @@
 }
 
 #[test]
-fn a_dead_host_is_forgotten_and_the_living_are_not_however_many_they_are() {
-    const DIES_MS: u64 = 8_000;
+fn gossip_drops_a_dead_host_and_keeps_live_ones_at_any_region_size() {
+    const CRASH_MS: u64 = 8_000;
     for count in [12, 27, 80, 157] {
-        let mut region = HearsayRegion::with_hosts(count);
-        region.run(0, DIES_MS, DIES_MS);
+        let mut region = GossipRegion::with_hosts(count);
+        region.run(0, CRASH_MS, CRASH_MS);
         let others = usize::from(count) - 2;
         for number in 1..usize::from(count) {
-            let naming = region.naming(number, DIES_MS);
+            let advertising = region.advertising(number, CRASH_MS);
             assert!(
-                naming * 100 >= others * 98,
-                "{count} hosts: {naming} of {others} name living host {number}"
+                advertising * 100 >= others * 98,
+                "{count} hosts: {advertising} of {others} advertise live host {number}"
             );
         }
-        let later = DIES_MS + INDIRECT_SILENT_MS + 1_000;
-        region.run(DIES_MS, later, DIES_MS);
-        assert_eq!(region.naming(0, later), 0, "{count} hosts");
+        let later = CRASH_MS + INDIRECT_SILENT_MS + 1_000;
+        region.run(CRASH_MS, later, CRASH_MS);
+        assert_eq!(region.advertising(0, later), 0, "{count} hosts");
     }
 }
 
 #[test]
-fn the_watchers_of_a_region_share_the_hosts_that_they_tell() {
+fn watchers_divide_the_hosts_of_a_region_among_themselves() {
     let all: Vec<HostRecord> = (0..30)
         .map(|number| {
             let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + number));
@@ -283,7 +286,7 @@
         })
         .collect();
     let (watchers, others) = all.split_at(2);
-    let mut told: Vec<SocketAddr> = Vec::new();
+    let mut recipients: Vec<SocketAddr> = Vec::new();
     for own in watchers {
         let mut peers = PeerTable::default();
         for peer in all.iter().filter(|peer| peer.name != own.name) {
@@ -294,16 +297,16 @@
             };
             peers.on_heartbeat(&heartbeat(peer, state), Moment(0));
         }
-        told.extend(peers.news_targets(own, Moment(0)));
+        recipients.extend(peers.news_targets(own, Moment(0)));
         let silent = Moment(INDIRECT_SILENT_MS + 1);
         assert_eq!(
             peers.news_targets(own, silent).len(),
             29,
-            "one whose fellow is silent tells all"
+            "a watcher whose counterpart is silent sends to all hosts"
         );
     }
     for other in others {
-        let times = told
+        let times = recipients
             .iter()
             .filter(|target| **target == other.heartbeat_address)
             .count();
@@ -312,7 +315,7 @@
 }
 
 #[test]
-fn the_next_in_order_watches_when_one_falls_silent_or_blind() {
+fn the_next_host_by_rank_watches_when_a_watcher_is_silent_or_cannot_reach_the_store() {
     let own = host("z", "one", 100);
     let larger: Vec<HostRecord> = ["a", "b", "c"].map(|name| host(name, "one", 500)).to_vec();
     let mut peers = PeerTable::default();
@@ -320,23 +323,26 @@
         peers.on_heartbeat(&heartbeat(other, WatchState::Watching), Moment(0));
     }
     assert!(!peers.is_watcher(&own, Moment(0)));
-    for blind in &larger[..2] {
-        peers.on_heartbeat(&heartbeat(blind, WatchState::Blind), Moment(1));
+    for unable in &larger[..2] {
+        peers.on_heartbeat(&heartbeat(unable, WatchState::Blind), Moment(1));
     }
     assert!(
         peers.is_watcher(&own, Moment(1)),
-        "one of three sees, {WATCHERS} must"
+        "one of three reaches the store, {WATCHERS} must"
     );
     assert!(
         peers.is_watcher(&own, Moment(SILENT_MS + 2)),
-        "all are silent"
+        "all larger hosts are silent"
     );
     let far = host("f", "two", 100);
-    assert!(peers.is_watcher(&far, Moment(1)), "each region has its own");
+    assert!(
+        peers.is_watcher(&far, Moment(1)),
+        "each region has its own watchers"
+    );
 }
 
 #[test]
-fn when_the_store_is_away_for_all_only_a_few_of_a_region_ask_it() {
+fn during_a_store_outage_only_a_few_hosts_of_a_region_call_the_store() {
     let all: Vec<HostRecord> = (0..30)
         .map(|number| host(&format!("h-{number:02}"), "one", 200))
         .collect();
@@ -351,11 +357,11 @@
 }
 
 #[test]
-fn a_host_that_knows_few_counts_many() {
+fn a_host_without_complete_membership_assumes_many_hosts() {
     let mut peers = PeerTable::default();
     assert!(
         peers.host_count() >= 100,
-        "it may have just started among many"
+        "the host may have just started among many"
     );
     peers.on_listed();
     assert_eq!(peers.host_count(), 1);
@@ -364,7 +370,7 @@
 /// Any number of hosts may have just started. If each took a fixed share of a limit, they would
 /// exceed it together.
 #[test]
-fn hosts_that_do_not_know_their_number_take_no_fixed_part_of_a_limit() {
+fn hosts_that_do_not_know_their_number_take_no_fixed_share_of_a_limit() {
     const SLACK: f64 = 100_000.0;
     let peers = PeerTable::default();
     let share = RetryShare {
@@ -377,15 +383,15 @@
 
 /// Membership counts as complete after a timeout, which may be too early in a large deployment.
 #[test]
-fn a_host_that_others_tell_of_more_hosts_divides_limits_by_as_many() {
+fn limits_are_divided_by_the_reported_number_of_hosts_if_larger() {
     let mut peers = PeerTable::default();
     peers.on_listed();
     for region in ["one", "two", "three"] {
-        let told = HostRecord {
+        let record = HostRecord {
             region_hosts: 300,
             ..host(&format!("h-{region}"), region, 200)
         };
-        peers.on_record(&told, Moment(0));
+        peers.on_record(&record, Moment(0));
     }
     assert!(peers.host_count() >= 895, "{}", peers.host_count());
 }
@@ -400,7 +406,7 @@
 
     /// Arbitrary bytes from another host are decoded or rejected.
     #[test]
-    fn bytes_of_other_hosts_never_panic(mut bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_of_other_hosts_never_panic(mut bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _read = peer_message::from_bytes::<PeerMessage>(&bytes);
         if let Some(first) = bytes.first_mut() {
             *first = 1;
@@ -410,7 +416,7 @@
 }
 
 #[test]
-fn late_word_of_an_earlier_runs_end_does_not_remove_the_later_run() {
+fn a_late_removal_of_an_earlier_run_does_not_remove_the_later_run() {
     let mut peers = PeerTable::default();
     let later = HostRecord {
         run: 7,
