--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -27,18 +27,18 @@
 
 /// Interval between heartbeats. Four of them fit in the timeout after which a host is no longer
 /// advertised to callers.
-const HEARTBEAT: time::Duration = time::Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Every n-th heartbeat carries the host's whole record.
-const RECORD_EVERY: u64 = 4;
+const HEARTBEATS_PER_RECORD: u64 = 4;
 
 /// The `known_hosts` count of a host that knows no other host.
-const KNOWS_ITSELF: u32 = 1;
+const ONLY_SELF_KNOWN: u32 = 1;
 
 /// The UDP socket, and the fleet updates of which some fragments are still missing.
 #[derive(Debug, Default)]
 pub struct PeerSocket {
     socket: cell::OnceCell<rc::Rc<UdpSocket>>,
-    partial: cell::RefCell<PartialNewsList>,
+    partial_updates: cell::RefCell<PartialNewsList>,
 }
 
 /// Starts the tasks that communicate with other hosts.
@@ -53,7 +53,7 @@
     let socket = rc::Rc::new(socket);
     let _first = host.socket.socket.set(rc::Rc::clone(&socket));
     tokio::task::spawn_local(receive(rc::Rc::clone(host), socket));
-    tokio::task::spawn_local(beat(rc::Rc::clone(host)));
+    tokio::task::spawn_local(send_heartbeats(rc::Rc::clone(host)));
     Ok(())
 }
 
@@ -103,19 +103,19 @@
     until: u64,
     changes: &[ObjectChange],
 ) {
-    let parts = news_part::parts_of(changes);
+    let fragments = news_part::parts_of(changes);
     let now = host.now();
     let targets = host.peers.borrow().fleet_news_targets(&host.record(), now);
-    let count = u32::try_from(parts.len()).unwrap_or(u32::MAX);
-    for (number, part) in (0..).zip(parts) {
+    let count = u32::try_from(fragments.len()).unwrap_or(u32::MAX);
+    for (number, fragment) in (0..).zip(fragments) {
         let news = FleetNews {
             host: host.settings().name.clone(),
             since,
             until,
             part: number,
             parts: count,
-            changed: part.changed,
-            gone: gone_servers(host, part.gone, now),
+            changed: fragment.changed,
+            gone: gone_servers(host, fragment.gone, now),
             relay: false,
         };
         let relayed = FleetNews {
@@ -186,41 +186,45 @@
 /// Sends a heartbeat with this host's record at once, so that lookups soon return this host, which
 /// can serve now.
 pub(super) fn introduce<W: WireProtocol>(host: &EntryHost<W>) {
-    beat_once(host, true);
+    send_heartbeat(host, true);
 }
 
-async fn beat<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
-    let mut beats = tokio::time::interval(HEARTBEAT);
-    beats.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+async fn send_heartbeats<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
+    let mut interval = tokio::time::interval(HEARTBEAT_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut count = 0_u64;
     loop {
-        beats.tick().await;
-        beat_once(&host, count.is_multiple_of(RECORD_EVERY));
+        interval.tick().await;
+        send_heartbeat(&host, count.is_multiple_of(HEARTBEATS_PER_RECORD));
         count += 1;
     }
 }
 
-fn beat_once<W: WireProtocol>(host: &EntryHost<W>, whole: bool) {
-    let heartbeat = host.heartbeat(whole);
-    if heartbeat.known_hosts == KNOWS_ITSELF {
-        greet_seeds(host);
+fn send_heartbeat<W: WireProtocol>(host: &EntryHost<W>, with_record: bool) {
+    let heartbeat = host.heartbeat(with_record);
+    if heartbeat.known_hosts == ONLY_SELF_KNOWN {
+        introduce_to_seeds(host);
         return;
     }
     let region = host.settings().region.clone();
-    let (near, far) = {
+    let (local, remote) = {
         let mut random = host.random.borrow_mut();
         let peers = host.peers.borrow();
-        let near = peers.near_targets(&region, &mut random);
-        (near, peers.far_targets(&region, &mut random))
+        let local = peers.near_targets(&region, &mut random);
+        (local, peers.far_targets(&region, &mut random))
     };
-    let far_heartbeat = heartbeat.for_other_regions();
-    send(host, &PeerMessage::Heartbeat(Box::new(heartbeat)), &near);
-    send(host, &PeerMessage::Heartbeat(Box::new(far_heartbeat)), &far);
+    let remote_heartbeat = heartbeat.for_other_regions();
+    send(host, &PeerMessage::Heartbeat(Box::new(heartbeat)), &local);
+    send(
+        host,
+        &PeerMessage::Heartbeat(Box::new(remote_heartbeat)),
+        &remote,
+    );
 }
 
 /// Sends a heartbeat to the seeds while this host knows no other host. The store may have answered
 /// before this host asked any seed.
-fn greet_seeds<W: WireProtocol>(host: &EntryHost<W>) {
+fn introduce_to_seeds<W: WireProtocol>(host: &EntryHost<W>) {
     let settings = host.settings();
     let seeds = settings.other_seeds();
     let targets: Vec<net::SocketAddr> = seeds
@@ -234,7 +238,7 @@
     let mut buffer = vec![0_u8; 2 * news_part::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             continue;
         };
         match peer_message::from_bytes::<PeerMessage>(&buffer[..length]) {
@@ -270,10 +274,10 @@
 ) {
     let now = host.now();
     let change = host.peers.borrow_mut().on_heartbeat(heartbeat, now);
-    let is_met = host.peers.borrow().run_of(&heartbeat.host) > 0;
-    if heartbeat.known_hosts == KNOWS_ITSELF && is_met {
-        let greeting = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
-        send(host, &greeting, &[source]);
+    let is_known = host.peers.borrow().run_of(&heartbeat.host) > 0;
+    if heartbeat.known_hosts == ONLY_SELF_KNOWN && is_known {
+        let introduction = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
+        send(host, &introduction, &[source]);
     }
     host_gossip::ask_who(host, heartbeat, source);
     let position = heartbeat.fleet_changed.max(heartbeat.evacuation_changed);
@@ -325,16 +329,16 @@
 }
 
 pub(super) fn on_fleet_news<W: WireProtocol>(host: &EntryHost<W>, news: &FleetNews) {
-    let told = ToldHolds::from_gone(&news.gone, host.now());
-    let whole = host.socket.partial.borrow_mut().on_part(news);
+    let holds = ToldHolds::from_gone(&news.gone, host.now());
+    let is_complete = host.socket.partial_updates.borrow_mut().on_part(news);
     let fleet = host.fleet.borrow();
-    let contiguous = whole && fleet.is_listed() && news.since <= fleet.revision();
+    let contiguous = is_complete && fleet.is_listed() && news.since <= fleet.revision();
     drop(fleet);
     let span = ChangeSpan {
         until: news.until,
         contiguous,
     };
-    let missing = MissingSource::Peer(&told);
+    let missing = MissingSource::Peer(&holds);
     host.on_server_changes(&changes_of(news), span, missing, &news.host);
 }
 
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -44,7 +44,7 @@
 /// Minimum time between two ticks that is logged as a stall of the process, in milliseconds. Ticks
 /// are 100 ms apart on a running host; a longer gap means that the host was suspended or frozen, or
 /// got no processor time.
-const STOOD_STILL_MS: u64 = 1_000;
+const MIN_STALL_MS: u64 = 1_000;
 
 /// The state of one entry host.
 #[derive(Debug)]
@@ -278,7 +278,7 @@
     /// Runs the periodic tasks.
     pub(super) fn on_tick(&self) {
         let now = self.now();
-        self.note_standstill(now);
+        self.note_stall(now);
         self.look_at_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
         self.note_fleet(&changes, "timer");
@@ -296,12 +296,12 @@
         self.log.flush();
     }
 
-    fn note_standstill(&self, now: Moment) {
-        let stood_ms = now.since(self.last_tick.replace(now));
-        if stood_ms >= STOOD_STILL_MS {
+    fn note_stall(&self, now: Moment) {
+        let stall_ms = now.since(self.last_tick.replace(now));
+        if stall_ms >= MIN_STALL_MS {
             self.note(
                 EventCode::ProcessStoodStill,
-                json!({ "stood_ms": stood_ms }),
+                json!({ "stood_ms": stall_ms }),
             );
         }
     }
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -16,7 +16,7 @@
 /// Hosts that get an introduction per received datagram of records. When all got one with all
 /// recent statuses, and each request carried a list of the known hosts, 300 hosts sent 52 MB
 /// between regions instead of 28 MB.
-const GREETED_PER_DATAGRAM: usize = 5;
+const INTRODUCTIONS_PER_DATAGRAM: usize = 5;
 
 /// Sends host changes that this host observed in the store.
 pub(super) fn pass_on_hosts<W: WireProtocol>(host: &EntryHost<W>, news: HostNews) {
@@ -34,31 +34,31 @@
     if rounds == 0 {
         return;
     }
-    let (near, far) = {
+    let (local, remote) = {
         let region = &host.settings().region;
         let peers = host.peers.borrow();
-        let near = peers.region_targets(region);
-        (near, peers.relay_targets(region, host.now()))
+        let local = peers.region_targets(region);
+        (local, peers.relay_targets(region, host.now()))
     };
     for round in 0..rounds {
         let news = HostNews {
-            joined: part_of(joined, round).to_vec(),
-            gone: part_of(gone, round).to_vec(),
+            joined: datagram_items(joined, round).to_vec(),
+            gone: datagram_items(gone, round).to_vec(),
             relay: false,
         };
         let relayed = HostNews {
             relay: true,
             ..news.clone()
         };
-        gossip::send(host, &PeerMessage::Hosts(news), &near);
-        gossip::send(host, &PeerMessage::Hosts(relayed), &far);
+        gossip::send(host, &PeerMessage::Hosts(news), &local);
+        gossip::send(host, &PeerMessage::Hosts(relayed), &remote);
     }
 }
 
 /// The items that go into the datagram with this number.
-fn part_of<T>(all: &[T], round: usize) -> &[T] {
-    let mut parts = all.chunks(HOSTS_PER_DATAGRAM);
-    parts.nth(round).unwrap_or_default()
+fn datagram_items<T>(all: &[T], round: usize) -> &[T] {
+    let mut chunks = all.chunks(HOSTS_PER_DATAGRAM);
+    chunks.nth(round).unwrap_or_default()
 }
 
 /// Asks the sender of a heartbeat for the hosts that it reports and that are unknown here.
@@ -85,8 +85,8 @@
     let peers = host.peers.borrow();
     let known = peers.records_for(request, &host.record(), host.now());
     drop(peers);
-    for part in known.chunks(HOSTS_PER_DATAGRAM) {
-        gossip::send(host, &PeerMessage::Who(part.to_vec()), &[source]);
+    for chunk in known.chunks(HOSTS_PER_DATAGRAM) {
+        gossip::send(host, &PeerMessage::Who(chunk.to_vec()), &[source]);
     }
 }
 
@@ -99,31 +99,31 @@
     let new = records
         .iter()
         .filter(|record| peers.run_of(&record.name) == 0);
-    let greeted: Vec<net::SocketAddr> = new
-        .take(GREETED_PER_DATAGRAM)
+    let recipients: Vec<net::SocketAddr> = new
+        .take(INTRODUCTIONS_PER_DATAGRAM)
         .map(|record| record.heartbeat_address)
         .collect();
     drop(peers);
     learn_hosts(host, &records);
-    let heard: Vec<HeardHost> = known.iter().filter_map(|known| known.heard).collect();
+    let statuses: Vec<HeardHost> = known.iter().filter_map(|known| known.heard).collect();
     let now = host.now();
-    host.peers.borrow_mut().on_told(&heard, now);
-    let greeting = PeerHeartbeat {
+    host.peers.borrow_mut().on_told(&statuses, now);
+    let introduction = PeerHeartbeat {
         heard: Vec::new(),
         ..host.heartbeat(true)
     };
-    let greeting = PeerMessage::Heartbeat(Box::new(greeting));
-    gossip::send(host, &greeting, &greeted);
+    let introduction = PeerMessage::Heartbeat(Box::new(introduction));
+    gossip::send(host, &introduction, &recipients);
 }
 
 pub(super) fn on_host_news<W: WireProtocol>(host: &EntryHost<W>, news: &HostNews) {
     if news.relay {
-        let near = host.peers.borrow().region_targets(&host.settings().region);
-        let passed_on = HostNews {
+        let local = host.peers.borrow().region_targets(&host.settings().region);
+        let forwarded = HostNews {
             relay: false,
             ..news.clone()
         };
-        gossip::send(host, &PeerMessage::Hosts(passed_on), &near);
+        gossip::send(host, &PeerMessage::Hosts(forwarded), &local);
     }
     learn_hosts(host, &news.joined);
     for gone in &news.gone {
--- a/src/entry/news_part.rs
+++ b/src/entry/news_part.rs
@@ -9,11 +9,11 @@
 /// Maximum size of a datagram, in bytes. Fits in one packet of common networks.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Bytes reserved in each datagram for the rest of the update message.
-const FRAME_BYTES: usize = 300;
+const ENVELOPE_BYTES: usize = 300;
 
 /// Bytes that a gone server takes in addition to its ID: the length of the ID and the remaining
 /// retention.
-const GONE_BYTES: usize = 4;
+const GONE_OVERHEAD_BYTES: usize = 4;
 
 /// Splits changes into fragments; returns one empty fragment if there are no changes. Only the last
 /// change of each server is included, because a fragment lists changed and gone servers without
@@ -24,14 +24,14 @@
     let last: collections::HashMap<&str, usize> = changes
         .iter()
         .enumerate()
-        .map(|(place, change)| (change.object.name.as_str(), place))
+        .map(|(index, change)| (change.object.name.as_str(), index))
         .collect();
-    let is_last = |(place, change): &(usize, &ObjectChange)| {
-        last.get(change.object.name.as_str()) == Some(place)
+    let is_last = |(index, change): &(usize, &ObjectChange)| {
+        last.get(change.object.name.as_str()) == Some(index)
     };
     let changes = changes.iter().enumerate().filter(is_last);
     for item in changes.filter_map(|(_, change)| NewsItem::from_change(change)) {
-        if parts.last().is_some_and(|part| !part.has_room(&item)) {
+        if parts.last().is_some_and(|part| !part.fits(&item)) {
             parts.push(NewsPart::default());
         }
         if let Some(part) = parts.last_mut() {
@@ -68,7 +68,7 @@
     const fn bytes(&self) -> usize {
         match self {
             Self::Changed(_, bytes) => *bytes + 1,
-            Self::Gone(id) => id.len() + GONE_BYTES,
+            Self::Gone(id) => id.len() + GONE_OVERHEAD_BYTES,
         }
     }
 }
@@ -84,8 +84,8 @@
 }
 
 impl NewsPart {
-    const fn has_room(&self, item: &NewsItem) -> bool {
-        self.bytes + item.bytes() + FRAME_BYTES <= MAX_DATAGRAM_BYTES
+    const fn fits(&self, item: &NewsItem) -> bool {
+        self.bytes + item.bytes() + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES
     }
 
     fn push(&mut self, item: NewsItem) {
--- a/src/entry/partial_news.rs
+++ b/src/entry/partial_news.rs
@@ -5,7 +5,7 @@
 use super::peer_message::FleetNews;
 
 /// Maximum number of incomplete updates that are tracked.
-const MAX_PARTIAL: usize = 64;
+const MAX_PARTIAL_UPDATES: usize = 64;
 
 /// Fleet updates of which some fragments are still missing, oldest first.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
             until: news.until,
             parts: [news.part].into(),
         });
-        if self.news.len() > MAX_PARTIAL {
+        if self.news.len() > MAX_PARTIAL_UPDATES {
             self.news.pop_front();
         }
         false
