--- a/tests/entry_keepers.rs
+++ b/tests/entry_keepers.rs
@@ -28,26 +28,26 @@
 }
 
 /// Names of the live hosts that register when each knows all others and has seen all but `silent`.
-fn keepers(hosts: &[HostRecord], silent: &[&str], now: Moment) -> Vec<String> {
-    let lives = |host: &&HostRecord| !silent.contains(&host.name.as_str());
-    let keeps = |own: &&HostRecord| {
+fn registered_hosts(hosts: &[HostRecord], silent: &[&str], now: Moment) -> Vec<String> {
+    let is_alive = |host: &&HostRecord| !silent.contains(&host.name.as_str());
+    let registers = |own: &&HostRecord| {
         let mut peers = PeerTable::default();
         for other in hosts.iter().filter(|other| other.name != own.name) {
             peers.on_record(other, Moment(0));
-            if lives(&other) {
+            if is_alive(&other) {
                 peers.on_heartbeat(&heartbeat(other), now);
             }
         }
         peers.keeps_entry(own, now)
     };
-    let kept = hosts.iter().filter(lives).filter(keeps);
-    kept.map(|host| host.name.clone()).collect()
+    let registered = hosts.iter().filter(is_alive).filter(registers);
+    registered.map(|host| host.name.clone()).collect()
 }
 
 /// Without this, each of several hosts that start together would take the whole of every shared
 /// limit.
 #[test]
-fn a_host_that_has_heard_nobody_counts_many_though_the_store_lists_no_entries() {
+fn a_host_that_knows_no_peer_assumes_many_hosts_although_the_store_has_no_entries() {
     let mut peers = PeerTable::default();
     peers.on_other_seeds();
     peers.on_entries(&[]);
@@ -61,46 +61,46 @@
 }
 
 #[test]
-fn entries_do_not_grow_with_the_hosts() {
+fn the_number_of_entries_does_not_grow_with_the_number_of_hosts() {
     for per_hall in [4, 33, 160] {
-        let kept = keepers(&fleet(per_hall), &[], Moment(5_000));
+        let registered = registered_hosts(&fleet(per_hall), &[], Moment(5_000));
         assert_eq!(
-            kept.len(),
+            registered.len(),
             3 * ENTRY_KEEPERS,
-            "{per_hall} hosts a hall: {kept:?}"
+            "{per_hall} hosts a hall: {registered:?}"
         );
         assert!(
-            kept.iter().any(|name| name == "west-0"),
-            "the larger ones first"
+            registered.iter().any(|name| name == "west-0"),
+            "larger hosts register first"
         );
     }
     assert_eq!(
-        keepers(&fleet(2), &[], Moment(5_000)).len(),
+        registered_hosts(&fleet(2), &[], Moment(5_000)).len(),
         6,
-        "few hosts keep one each"
+        "with few hosts, each one registers"
     );
 }
 
 #[test]
-fn when_those_that_keep_an_entry_are_lost_others_of_the_hall_take_it_up() {
+fn other_hosts_of_a_hall_register_when_the_registered_ones_are_lost() {
     let hosts = fleet(33);
-    let before = keepers(&hosts, &[], Moment(5_000));
+    let before = registered_hosts(&hosts, &[], Moment(5_000));
     let lost: Vec<&str> = before
         .iter()
         .filter(|name| name.starts_with("east"))
         .map(String::as_str)
         .collect();
-    let after = keepers(&hosts, &lost, Moment(9_000));
+    let after = registered_hosts(&hosts, &lost, Moment(9_000));
     let east = after.iter().filter(|name| name.starts_with("east")).count();
     assert_eq!(east, ENTRY_KEEPERS);
     assert!(
         lost.iter()
-            .all(|name| !after.iter().any(|kept| kept == name))
+            .all(|name| !after.iter().any(|other| other == name))
     );
 }
 
 #[test]
-fn a_host_that_leaves_keeps_none() {
+fn a_leaving_host_does_not_count_as_registered() {
     let hosts = fleet(4);
     let mut peers = PeerTable::default();
     for other in &hosts[..3] {
@@ -114,23 +114,23 @@
 }
 
 #[test]
-fn a_list_of_entries_tells_of_all_hosts_only_where_halls_are_small() {
+fn a_list_of_entries_is_complete_only_if_halls_are_small() {
     let mut peers = PeerTable::default();
     peers.on_entries(&fleet(2));
     assert!(peers.is_listed());
     let mut peers = PeerTable::default();
     peers.on_entries(&fleet(ENTRY_KEEPERS));
-    assert!(!peers.is_listed(), "there may be any number of others");
+    assert!(!peers.is_listed(), "there may be any number of other hosts");
     assert!(
         peers.host_count() > 400,
-        "so parts of shared limits are small"
+        "a large count keeps shares of limits small"
     );
     assert!(peers.other_hashes().is_none());
 }
 
 /// Objects are assigned to regions by region size, so all hosts must use the same sizes.
 #[test]
-fn hosts_that_know_fewer_than_others_go_by_what_the_others_know() {
+fn a_host_uses_the_larger_region_size_that_others_report() {
     let mut peers = PeerTable::default();
     let size = |region: &str| RegionSize {
         region: region.to_owned(),
@@ -149,12 +149,12 @@
     assert_eq!(
         peers.hosts_by_region("one")["one"],
         99,
-        "a record tells it too"
+        "records report the size too"
     );
 }
 
 #[test]
-fn a_region_that_has_shrunk_is_seen_to_in_the_end() {
+fn a_reported_region_size_shrinks_after_its_ttl() {
     let mut peers = PeerTable::default();
     let mut other = record("other", "east", "one", 100);
     other.region_hosts = 98;
@@ -164,14 +164,14 @@
     assert_eq!(
         peers.hosts_by_region("one")["one"],
         98,
-        "others may know more"
+        "other hosts may know more"
     );
     peers.on_heartbeat(&heartbeat(&other), Moment(61_000));
     assert_eq!(peers.hosts_by_region("one")["one"], 60);
 }
 
 #[test]
-fn silent_hosts_are_forgotten_and_their_entries_abandoned() {
+fn silent_hosts_are_forgotten_and_their_entries_are_abandoned() {
     let hosts = fleet(4);
     let own = &hosts[0];
     let mut peers = PeerTable::default();
@@ -187,12 +187,12 @@
     assert_eq!(
         forgotten.len(),
         10,
-        "all of the region but the one that spoke"
+        "all hosts of the region except the one that was seen"
     );
     assert_eq!(
         peers.run_of("far"),
         1,
-        "hosts of other regions are heard of seldom"
+        "hosts of other regions are seen rarely"
     );
     let abandoned = peers.abandoned_entries(own);
     assert_eq!(abandoned.len(), 1, "{abandoned:?}");
