--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -190,9 +190,9 @@
         peers.on_heartbeat(beat, Moment(1));
     }
     let told_us = micros(200, |_| {
-        black_box(peers.heard_anywhere("region-0", Moment(100)));
+        black_box(peers.recent_statuses_all_regions("region-0", Moment(100)));
     });
-    let heard = peers.heard_anywhere("region-0", Moment(100));
+    let heard = peers.recent_statuses_all_regions("region-0", Moment(100));
     for beat in &mut beats {
         beat.heard.clone_from(&heard);
     }
--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -12,7 +12,7 @@
 use super::host::EntryHost;
 use super::host_gossip;
 use super::lapse_hold::{MissingSource, ToldHolds};
-use super::peer_message::{self, FleetNews, JoinAnswer, PeerHeartbeat, PeerSnapshot};
+use super::peer_message::{self, FleetUpdate, JoinAnswer, PeerHeartbeat, PeerSnapshot};
 use super::quarantine::message::SuspectRecord;
 use super::store::StoredObject;
 use super::wire::WireProtocol;
@@ -199,9 +199,9 @@
         return fetch_snapshot(host, source).await;
     }
     let path = format!("{CHANGES_PATH}{revision}");
-    match fetch::<W, Option<FleetNews>>(host, source, &path).await {
+    match fetch::<W, Option<FleetUpdate>>(host, source, &path).await {
         Some(Some(news)) => {
-            gossip::on_fleet_news(host, &news);
+            gossip::on_fleet_update(host, &news);
             FetchEnd::Answered
         }
         Some(None) => fetch_snapshot(host, source).await,
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -13,7 +13,7 @@
 use super::host::EntryHost;
 use super::lapse_hold::{MissingSource, ToldHolds};
 use super::partial_news::PartialNewsList;
-use super::peer_message::{self, FleetNews, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
+use super::peer_message::{self, FleetUpdate, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
 use super::peers::PeerChange;
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use super::wire::WireProtocol;
@@ -97,7 +97,7 @@
 }
 
 /// Sends server changes that this host observed in the store.
-pub fn pass_on_fleet<W: WireProtocol>(
+pub fn send_fleet_update<W: WireProtocol>(
     host: &EntryHost<W>,
     since: u64,
     until: u64,
@@ -105,10 +105,13 @@
 ) {
     let fragments = news_part::parts_of(changes);
     let now = host.now();
-    let targets = host.peers.borrow().fleet_news_targets(&host.record(), now);
+    let targets = host
+        .peers
+        .borrow()
+        .fleet_update_targets(&host.record(), now);
     let count = u32::try_from(fragments.len()).unwrap_or(u32::MAX);
     for (number, fragment) in (0..).zip(fragments) {
-        let news = FleetNews {
+        let update = FleetUpdate {
             host: host.settings().name.clone(),
             since,
             until,
@@ -118,11 +121,11 @@
             gone: gone_servers(host, fragment.gone, now),
             relay: false,
         };
-        let relayed = FleetNews {
+        let relayed = FleetUpdate {
             relay: true,
-            ..news.clone()
+            ..update.clone()
         };
-        send(host, &PeerMessage::Fleet(news), &targets.direct);
+        send(host, &PeerMessage::Fleet(update), &targets.direct);
         send(host, &PeerMessage::Fleet(relayed), &targets.relays);
     }
 }
@@ -141,8 +144,10 @@
     gone.collect()
 }
 
-pub(super) fn news_targets<W: WireProtocol>(host: &EntryHost<W>) -> Vec<net::SocketAddr> {
-    host.peers.borrow().news_targets(&host.record(), host.now())
+pub(super) fn host_update_targets<W: WireProtocol>(host: &EntryHost<W>) -> Vec<net::SocketAddr> {
+    host.peers
+        .borrow()
+        .host_update_targets(&host.record(), host.now())
 }
 
 pub(super) fn send<W: WireProtocol>(
@@ -243,11 +248,11 @@
         };
         match peer_message::from_bytes::<PeerMessage>(&buffer[..length]) {
             Ok(PeerMessage::Heartbeat(heartbeat)) => on_heartbeat(&host, &heartbeat, source),
-            Ok(PeerMessage::Fleet(news)) => {
-                on_fleet_news(&host, &news);
-                relay_fleet_news(&host, news, source);
+            Ok(PeerMessage::Fleet(update)) => {
+                on_fleet_update(&host, &update);
+                relay_fleet_update(&host, update, source);
             }
-            Ok(PeerMessage::Hosts(news)) => host_gossip::on_host_news(&host, &news),
+            Ok(PeerMessage::Hosts(update)) => host_gossip::on_host_update(&host, &update),
             Ok(PeerMessage::WhoIs(request)) => host_gossip::tell_who(&host, &request, source),
             Ok(PeerMessage::Who(records)) => host_gossip::on_who(&host, &records),
             Ok(PeerMessage::Limit(message)) => limit_role::on_message(&host, message, source),
@@ -311,48 +316,48 @@
 }
 
 /// Relays a fleet update to the other hosts of this hall if a watcher of another hall requests it.
-fn relay_fleet_news<W: WireProtocol>(
+fn relay_fleet_update<W: WireProtocol>(
     host: &EntryHost<W>,
-    news: FleetNews,
+    update: FleetUpdate,
     source: net::SocketAddr,
 ) {
-    if !news.relay {
+    if !update.relay {
         return;
     }
     let mut targets = host.peers.borrow().hall_targets(&host.record());
     targets.retain(|target| *target != source);
-    let news = FleetNews {
+    let update = FleetUpdate {
         relay: false,
-        ..news
+        ..update
     };
-    send(host, &PeerMessage::Fleet(news), &targets);
+    send(host, &PeerMessage::Fleet(update), &targets);
 }
 
-pub(super) fn on_fleet_news<W: WireProtocol>(host: &EntryHost<W>, news: &FleetNews) {
-    let holds = ToldHolds::from_gone(&news.gone, host.now());
-    let is_complete = host.socket.partial_updates.borrow_mut().on_part(news);
+pub(super) fn on_fleet_update<W: WireProtocol>(host: &EntryHost<W>, update: &FleetUpdate) {
+    let holds = ToldHolds::from_gone(&update.gone, host.now());
+    let is_complete = host.socket.partial_updates.borrow_mut().on_part(update);
     let fleet = host.fleet.borrow();
-    let contiguous = is_complete && fleet.is_listed() && news.since <= fleet.revision();
+    let contiguous = is_complete && fleet.is_listed() && update.since <= fleet.revision();
     drop(fleet);
     let span = ChangeSpan {
-        until: news.until,
+        until: update.until,
         contiguous,
     };
     let missing = MissingSource::Peer(&holds);
-    host.on_server_changes(&changes_of(news), span, missing, &news.host);
+    host.on_server_changes(&changes_of(update), span, missing, &update.host);
 }
 
-fn changes_of(news: &FleetNews) -> Vec<ObjectChange> {
-    let changed = news.changed.iter().map(|object| ObjectChange {
+fn changes_of(update: &FleetUpdate) -> Vec<ObjectChange> {
+    let changed = update.changed.iter().map(|object| ObjectChange {
         object: StoredObject::from(object.clone()),
         deleted: false,
     });
-    let gone = news.gone.iter().map(|server| ObjectChange {
+    let gone = update.gone.iter().map(|server| ObjectChange {
         object: StoredObject {
             name: server.id.clone(),
             // The server ended at this revision or before; an observation at a later revision takes
             // precedence.
-            revision: news.until,
+            revision: update.until,
             content: ObjectContent::Unreadable(String::new()),
         },
         deleted: true,
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -6,7 +6,7 @@
 use super::gossip;
 use super::host::EntryHost;
 use super::peer_message::{
-    GoneHost, HeardHost, HostNews, KnownHost, PeerHeartbeat, PeerMessage, WhoIsRequest,
+    GoneHost, HostUpdate, KnownHost, PeerHeartbeat, PeerMessage, PeerStatus, WhoIsRequest,
 };
 use super::peers::HostRecord;
 use super::wire::WireProtocol;
@@ -19,8 +19,12 @@
 const INTRODUCTIONS_PER_DATAGRAM: usize = 5;
 
 /// Sends host changes that this host observed in the store.
-pub(super) fn pass_on_hosts<W: WireProtocol>(host: &EntryHost<W>, news: HostNews) {
-    gossip::send(host, &PeerMessage::Hosts(news), &gossip::news_targets(host));
+pub(super) fn send_host_update<W: WireProtocol>(host: &EntryHost<W>, update: HostUpdate) {
+    gossip::send(
+        host,
+        &PeerMessage::Hosts(update),
+        &gossip::host_update_targets(host),
+    );
 }
 
 /// Sends host changes that the store does not report to this region and, through relays, to each
@@ -41,16 +45,16 @@
         (local, peers.relay_targets(region, host.now()))
     };
     for round in 0..rounds {
-        let news = HostNews {
+        let update = HostUpdate {
             joined: datagram_items(joined, round).to_vec(),
             gone: datagram_items(gone, round).to_vec(),
             relay: false,
         };
-        let relayed = HostNews {
+        let relayed = HostUpdate {
             relay: true,
-            ..news.clone()
+            ..update.clone()
         };
-        gossip::send(host, &PeerMessage::Hosts(news), &local);
+        gossip::send(host, &PeerMessage::Hosts(update), &local);
         gossip::send(host, &PeerMessage::Hosts(relayed), &remote);
     }
 }
@@ -105,9 +109,9 @@
         .collect();
     drop(peers);
     learn_hosts(host, &records);
-    let statuses: Vec<HeardHost> = known.iter().filter_map(|known| known.heard).collect();
+    let statuses: Vec<PeerStatus> = known.iter().filter_map(|known| known.heard).collect();
     let now = host.now();
-    host.peers.borrow_mut().on_told(&statuses, now);
+    host.peers.borrow_mut().on_statuses(&statuses, now);
     let introduction = PeerHeartbeat {
         heard: Vec::new(),
         ..host.heartbeat(true)
@@ -116,17 +120,17 @@
     gossip::send(host, &introduction, &recipients);
 }
 
-pub(super) fn on_host_news<W: WireProtocol>(host: &EntryHost<W>, news: &HostNews) {
-    if news.relay {
+pub(super) fn on_host_update<W: WireProtocol>(host: &EntryHost<W>, update: &HostUpdate) {
+    if update.relay {
         let local = host.peers.borrow().region_targets(&host.settings().region);
-        let forwarded = HostNews {
+        let forwarded = HostUpdate {
             relay: false,
-            ..news.clone()
+            ..update.clone()
         };
         gossip::send(host, &PeerMessage::Hosts(forwarded), &local);
     }
-    learn_hosts(host, &news.joined);
-    for gone in &news.gone {
+    learn_hosts(host, &update.joined);
+    for gone in &update.gone {
         on_host_gone(host, gone);
     }
 }
--- a/src/entry/partial_news.rs
+++ b/src/entry/partial_news.rs
@@ -2,7 +2,7 @@
 
 use std::collections;
 
-use super::peer_message::FleetNews;
+use super::peer_message::FleetUpdate;
 
 /// Maximum number of incomplete updates that are tracked.
 const MAX_PARTIAL_UPDATES: usize = 64;
@@ -26,13 +26,13 @@
     ///
     /// ```
     /// use ledgespool::entry::partial_news::PartialNewsList;
-    /// use ledgespool::entry::peer_message::FleetNews;
-    /// let part = |part| FleetNews { part, parts: 2, ..FleetNews::default() };
+    /// use ledgespool::entry::peer_message::FleetUpdate;
+    /// let part = |part| FleetUpdate { part, parts: 2, ..FleetUpdate::default() };
     /// let mut list = PartialNewsList::default();
     /// assert!(!list.on_part(&part(0)) && !list.on_part(&part(0)));
     /// assert!(list.on_part(&part(1)));
     /// ```
-    pub fn on_part(&mut self, news: &FleetNews) -> bool {
+    pub fn on_part(&mut self, news: &FleetUpdate) -> bool {
         if news.parts <= 1 {
             return true;
         }
--- a/src/entry/peer_message.rs
+++ b/src/entry/peer_message.rs
@@ -71,9 +71,9 @@
     /// Sent at regular intervals, and at once after a change.
     Heartbeat(Box<PeerHeartbeat>),
     /// Servers have changed.
-    Fleet(FleetNews),
+    Fleet(FleetUpdate),
     /// Entry hosts have joined or are gone.
-    Hosts(HostNews),
+    Hosts(HostUpdate),
     /// Requests the records of hosts that the recipient has reported.
     WhoIs(WhoIsRequest),
     /// The requested host records.
@@ -130,7 +130,7 @@
     /// Number of known hosts in the sender's region, itself included.
     pub known_near: u32,
     /// Recent statuses of other hosts, seen directly or through gossip.
-    pub heard: Vec<HeardHost>,
+    pub heard: Vec<PeerStatus>,
 }
 
 impl PeerHeartbeat {
@@ -149,7 +149,7 @@
 
 /// Status of a host as seen by another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct HeardHost {
+pub struct PeerStatus {
     /// The lower half of the hash of the host's name.
     pub name_hash: u32,
     /// The lower bits of the host's run number, so that a status of an earlier run is not applied
@@ -165,7 +165,7 @@
 
 /// Server changes observed by a watcher, or one fragment of them.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
-pub struct FleetNews {
+pub struct FleetUpdate {
     /// The host that sends the update.
     pub host: String,
     /// Store revision before these changes.
@@ -197,7 +197,7 @@
 
 /// Entry hosts that joined or are gone.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct HostNews {
+pub struct HostUpdate {
     /// Hosts that joined.
     pub joined: Vec<HostRecord>,
     /// Hosts that are gone.
@@ -222,7 +222,7 @@
     pub record: HostRecord,
     /// The host's status if it was seen recently, so that the recipient can report it further at
     /// once.
-    pub heard: Option<HeardHost>,
+    pub heard: Option<PeerStatus>,
 }
 
 /// The hosts that a host knows, or a part of them, since the whole list may exceed a datagram.
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -21,7 +21,7 @@
 pub use self::grantors::GrantorPlace;
 pub use self::keepers::ENTRY_KEEPERS;
 pub use self::limit_keepers::{KeeperPlace, KeeperQuery};
-pub use self::targets::{HEARTBEAT_FANOUT, NewsTargets, RELAYS_PER_HALL};
+pub use self::targets::{HEARTBEAT_FANOUT, RELAYS_PER_HALL, UpdateTargets};
 pub use self::watchers::WATCHERS;
 use super::hash;
 use super::peer_message::{PeerHeartbeat, WatchState};
@@ -208,7 +208,7 @@
         if let Some(record) = &heartbeat.record {
             self.on_record(record, now);
         }
-        self.on_told(&heartbeat.heard, now);
+        self.on_statuses(&heartbeat.heard, now);
         let region = self
             .peers
             .get(&heartbeat.host)
--- a/src/entry/peers/peer_status.rs
+++ b/src/entry/peers/peer_status.rs
@@ -7,7 +7,7 @@
 
 use super::{INDIRECT_SILENT_MS, PeerEntry, PeerTable};
 use crate::entry::hash;
-use crate::entry::peer_message::HeardHost;
+use crate::entry::peer_message::PeerStatus;
 use crate::timer::Moment;
 
 /// Maximum number of peer statuses in a heartbeat. With 40, a host of the target deployment stays
@@ -26,7 +26,7 @@
     /// The most recent statuses of hosts in `region`. The newest ones are unknown to most
     /// recipients.
     #[must_use]
-    pub fn heard_lately(&self, region: &str, now: Moment) -> Vec<HeardHost> {
+    pub fn recent_statuses(&self, region: &str, now: Moment) -> Vec<PeerStatus> {
         newest(self.in_region(region), MAX_STATUSES, now)
     }
 
@@ -34,7 +34,7 @@
     /// those regions too. Two hosts of one region may both be known only to a host of another
     /// region, and discover each other through its heartbeats.
     #[must_use]
-    pub fn heard_anywhere(&self, region: &str, now: Moment) -> Vec<HeardHost> {
+    pub fn recent_statuses_all_regions(&self, region: &str, now: Moment) -> Vec<PeerStatus> {
         let peers = self.peers.values();
         let remote = peers.filter(|peer| peer.record.region != region);
         let mut statuses = newest(remote, MAX_REMOTE_STATUSES, now);
@@ -47,7 +47,7 @@
     }
 
     /// Applies peer statuses reported by another host.
-    pub fn on_told(&mut self, statuses: &[HeardHost], now: Moment) {
+    pub fn on_statuses(&mut self, statuses: &[PeerStatus], now: Moment) {
         for status in statuses {
             let name = self.names_by_hash.get(&status.name_hash);
             if let Some(peer) = name.and_then(|name| self.peers.get_mut(name)) {
@@ -62,8 +62,8 @@
     peers: impl Iterator<Item = &'a PeerEntry>,
     limit: usize,
     now: Moment,
-) -> Vec<HeardHost> {
-    let mut statuses: Vec<HeardHost> = peers
+) -> Vec<PeerStatus> {
+    let mut statuses: Vec<PeerStatus> = peers
         .filter_map(|peer| peer.status(INDIRECT_SILENT_MS, now))
         .collect();
     statuses.sort_unstable_by_key(|status| (status.age_tenths, status.name_hash));
@@ -74,12 +74,12 @@
 impl PeerEntry {
     /// The status to report to others; `None` if the host is leaving or its status would be older
     /// than `max_age_ms`.
-    pub(super) fn status(&self, max_age_ms: u64, now: Moment) -> Option<HeardHost> {
+    pub(super) fn status(&self, max_age_ms: u64, now: Moment) -> Option<PeerStatus> {
         // The age is rounded up and a tenth is added for the network latency. If the age shrank
         // with each relay, gossip would keep a dead host alive forever.
         let age_tenths = now.since(self.last_seen?).div_ceil(100) + MAX_LATENCY_TENTHS;
         let is_recent = age_tenths * 100 <= max_age_ms && !self.leaving;
-        is_recent.then_some(HeardHost {
+        is_recent.then_some(PeerStatus {
             name_hash: short_hash(&self.record.name),
             run_low: run_low(self.record.run),
             // The check above bounds the age by `max_age_ms`, and all callers pass less than 25 s.
@@ -90,7 +90,7 @@
     }
 
     /// Applies a status reported by another host if it is newer than the known one.
-    fn on_status(&mut self, status: &HeardHost, now: Moment) {
+    fn on_status(&mut self, status: &PeerStatus, now: Moment) {
         let sent_at = now.before(u64::from(status.age_tenths) * 100);
         let is_newer = self.last_seen.is_none_or(|seen| seen < sent_at);
         if status.run_low == run_low(self.record.run) && is_newer {
--- a/src/entry/peers/reconcile.rs
+++ b/src/entry/peers/reconcile.rs
@@ -9,7 +9,7 @@
 use super::peer_status::{run_low, short_hash};
 use super::{HostRecord, PeerEntry, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::hash;
-use crate::entry::peer_message::{HeardHost, KnownHost, KnownSlice, PeerHeartbeat, WhoIsRequest};
+use crate::entry::peer_message::{KnownHost, KnownSlice, PeerHeartbeat, PeerStatus, WhoIsRequest};
 use crate::timer::Moment;
 
 /// Interval between requests for the same unknown host, in milliseconds. One heartbeat, so that a
@@ -89,7 +89,7 @@
     ) -> Option<WhoIsRequest> {
         let own_hash = short_hash(&own.name);
         self.reconcile.forget_old_requests(now);
-        let sender = HeardHost {
+        let sender = PeerStatus {
             name_hash: short_hash(&heartbeat.host),
             run_low: run_low(heartbeat.run),
             age_tenths: 0,
@@ -178,7 +178,7 @@
         }
     }
 
-    fn knows_run(&self, status: &HeardHost) -> bool {
+    fn knows_run(&self, status: &PeerStatus) -> bool {
         let name = self.names_by_hash.get(&status.name_hash);
         let known = name.and_then(|name| self.peers.get(name));
         known.is_some_and(|known| run_low(known.record.run) == status.run_low)
--- a/src/entry/peers/targets.rs
+++ b/src/entry/peers/targets.rs
@@ -33,7 +33,7 @@
 
 /// Recipients of a fleet update.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct NewsTargets {
+pub struct UpdateTargets {
     /// Hosts that only apply the update.
     pub direct: Vec<net::SocketAddr>,
     /// Hosts that also relay the update to the others of their hall.
@@ -133,7 +133,7 @@
     /// observes the same changes and sends to its share of the region. Hosts that miss an update
     /// because their watcher fails catch up after a heartbeat.
     #[must_use]
-    pub fn news_targets(&self, own: &HostRecord, now: Moment) -> Vec<net::SocketAddr> {
+    pub fn host_update_targets(&self, own: &HostRecord, now: Moment) -> Vec<net::SocketAddr> {
         let watchers = self.watcher_hashes(&own.region, now);
         let own_hash = hash::of_name(&own.name);
         let targets = self.in_region(&own.region).filter(|target| {
@@ -152,7 +152,7 @@
     /// every host, the traffic between halls would grow with the number of changes times the number
     /// of hosts.
     #[must_use]
-    pub fn fleet_news_targets(&self, own: &HostRecord, now: Moment) -> NewsTargets {
+    pub fn fleet_update_targets(&self, own: &HostRecord, now: Moment) -> UpdateTargets {
         let watchers = self.watcher_hashes(&own.region, now);
         let own_hash = hash::of_name(&own.name);
         let is_own_share = |hall: &str| {
@@ -165,7 +165,7 @@
         local.retain(|peer| is_own_share(&peer.record.hall));
         local.sort_by_key(|peer| (&peer.record.hall, peer.record.watch_order()));
         let timeout_ms = self.timeout_ms(&own.region);
-        let mut targets = NewsTargets::default();
+        let mut targets = UpdateTargets::default();
         for hall in local.chunk_by(|a, b| a.record.hall == b.record.hall) {
             let is_own = hall.iter().any(|peer| peer.record.hall == own.hall);
             if is_own || hall.len() <= RELAYS_PER_HALL {
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -4,7 +4,7 @@
 
 use super::host::EntryHost;
 use super::packed_servers::PackedServers;
-use super::peer_message::{FleetNews, PeerHeartbeat, PeerSnapshot, RegionSize};
+use super::peer_message::{FleetUpdate, PeerHeartbeat, PeerSnapshot, RegionSize};
 use super::peers::HostRecord;
 use super::wire::WireProtocol;
 
@@ -35,7 +35,7 @@
         let evacuations = self.evacuations.borrow();
         let region = &self.settings().region;
         let peers = self.peers.borrow();
-        let heard = peers.heard_anywhere(region, self.now());
+        let heard = peers.recent_statuses_all_regions(region, self.now());
         let known_hosts = peers.known_count();
         let known_near = peers.region_size(region);
         drop(peers);
@@ -63,10 +63,10 @@
     /// The changes of servers past the store's count `since`; `None` when this host does not know
     /// them any more.
     #[must_use]
-    pub fn fleet_news_since(&self, since: u64) -> Option<FleetNews> {
+    pub fn fleet_news_since(&self, since: u64) -> Option<FleetUpdate> {
         let fleet = self.fleet.borrow();
         let difference = fleet.changes_since(since, self.now())?;
-        Some(FleetNews {
+        Some(FleetUpdate {
             host: self.settings().name.clone(),
             since,
             until: fleet.revision(),
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -7,7 +7,7 @@
 use super::host::EntryHost;
 use super::host_gossip;
 use super::lapse_hold::MissingSource;
-use super::peer_message::{GoneHost, HostNews};
+use super::peer_message::{GoneHost, HostUpdate};
 use super::store::{ChangeBatch, ObjectContent, ObjectKind, StoredObject};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
@@ -96,11 +96,11 @@
         contiguous: true,
     };
     host.on_server_changes(&batch.changes, span, MissingSource::Store, "store");
-    gossip::pass_on_fleet(host, since, batch.revision, &batch.changes);
+    gossip::send_fleet_update(host, since, batch.revision, &batch.changes);
 }
 
 fn on_hosts<W: WireProtocol>(host: &EntryHost<W>, batch: &ChangeBatch) {
-    let mut news = HostNews::default();
+    let mut news = HostUpdate::default();
     for change in &batch.changes {
         if change.deleted {
             let gone = gone_host(host, &change.object);
@@ -115,7 +115,7 @@
         }
     }
     host_gossip::learn_hosts(host, &news.joined);
-    host_gossip::pass_on_hosts(host, news);
+    host_gossip::send_host_update(host, news);
 }
 
 /// The run whose entry is gone: as the store tells, else the one that is known.
--- a/tests/entry_news.rs
+++ b/tests/entry_news.rs
@@ -74,7 +74,7 @@
         for own in self.hosts.iter().filter(|host| Self::is_watcher(host)) {
             spread.reached.insert(own.heartbeat_address);
             let table = &self.tables[&own.heartbeat_address];
-            let targets = table.fleet_news_targets(own, Moment(0));
+            let targets = table.fleet_update_targets(own, Moment(0));
             for target in targets.direct.iter().chain(&targets.relays) {
                 spread.hall_crossings += usize::from(self.hall_of(*target) != own.hall);
             }
@@ -118,7 +118,7 @@
         .iter()
         .filter(|host| SimulatedRegion::is_watcher(host))
     {
-        let targets = region.tables[&own.heartbeat_address].fleet_news_targets(own, Moment(0));
+        let targets = region.tables[&own.heartbeat_address].fleet_update_targets(own, Moment(0));
         let mut crashed: BTreeMap<&str, SocketAddr> = BTreeMap::new();
         for relay in &targets.relays {
             crashed.insert(region.hall_of(*relay), *relay);
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use ledgespool::entry::budget::{RetryShare, RetryWindow};
-use ledgespool::entry::peer_message::{self, HeardHost, PeerHeartbeat, PeerMessage, WatchState};
+use ledgespool::entry::peer_message::{self, PeerHeartbeat, PeerMessage, PeerStatus, WatchState};
 use ledgespool::entry::peers::{
     HEARTBEAT_FANOUT, HostRecord, INDIRECT_SILENT_MS, PeerChange, PeerTable, SILENT_MS, WATCHERS,
 };
@@ -90,7 +90,7 @@
 }
 
 /// A region with more hosts than a heartbeat goes to, of which only the first has sent a heartbeat.
-fn large_region(statuses: &[HeardHost]) -> PeerTable {
+fn large_region(statuses: &[PeerStatus]) -> PeerTable {
     let mut peers = PeerTable::default();
     for number in 0..20 {
         peers.on_record(&host(&format!("h-{number:02}"), "one", 200), Moment(0));
@@ -103,8 +103,8 @@
     peers
 }
 
-fn status(name: &str, age_tenths: u8) -> HeardHost {
-    HeardHost {
+fn status(name: &str, age_tenths: u8) -> PeerStatus {
+    PeerStatus {
         name_hash: xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32,
         run_low: 1,
         age_tenths,
@@ -130,7 +130,7 @@
 
 #[test]
 fn the_status_of_an_earlier_run_is_ignored() {
-    let earlier = HeardHost {
+    let earlier = PeerStatus {
         run_low: 0,
         ..status("h-07", 0)
     };
@@ -157,7 +157,7 @@
         "{local} and {remote}"
     );
     let beat = PeerHeartbeat {
-        heard: peers.heard_lately("one", Moment(0)),
+        heard: peers.recent_statuses("one", Moment(0)),
         ..heartbeat(&host("h-000", "one", 200), WatchState::Idle)
     };
     let bytes = |beat: PeerHeartbeat| {
@@ -228,7 +228,7 @@
         let table = &self.tables[number];
         let beat = PeerHeartbeat {
             record: None,
-            heard: table.heard_lately("one", Moment(millis)),
+            heard: table.recent_statuses("one", Moment(millis)),
             ..heartbeat(&self.records[number], WatchState::Idle)
         };
         for target in table.near_targets("one", &mut self.random) {
@@ -297,10 +297,10 @@
             };
             peers.on_heartbeat(&heartbeat(peer, state), Moment(0));
         }
-        recipients.extend(peers.news_targets(own, Moment(0)));
+        recipients.extend(peers.host_update_targets(own, Moment(0)));
         let silent = Moment(INDIRECT_SILENT_MS + 1);
         assert_eq!(
-            peers.news_targets(own, silent).len(),
+            peers.host_update_targets(own, silent).len(),
             29,
             "a watcher whose counterpart is silent sends to all hosts"
         );
