--- a/src/entry/limit_role/lending.rs
+++ b/src/entry/limit_role/lending.rs
@@ -8,7 +8,7 @@
 use crate::entry::limits::message::{LeaseOffer, LimitMessage};
 use crate::entry::limits::{GROUPS, ROUND_MS};
 use crate::entry::peer_message::PeerMessage;
-use crate::entry::peers::GrantorPlace;
+use crate::entry::peers::CoordinatorAddress;
 use crate::entry::wire::WireProtocol;
 
 /// Starts the rounds in which this host lends its parts.
@@ -42,7 +42,7 @@
         });
         let settings = self.settings();
         let regions = settings.halls.regions().into_iter();
-        let hosts = self.peers.borrow().limit_hosts(&own_region, regions);
+        let hosts = self.peers.borrow().limit_host_count(&own_region, regions);
         let offers = self.limits.member.borrow_mut().round(hosts, wanted, now);
         self.learn_places(&places);
         for offer in offers {
@@ -51,7 +51,7 @@
     }
 
     /// The grantors of each group: the own region's first, then those of the others.
-    fn grantor_places(&self, own_region: &str) -> [Vec<Option<GrantorPlace>>; GROUPS] {
+    fn grantor_places(&self, own_region: &str) -> [Vec<Option<CoordinatorAddress>>; GROUPS] {
         let now = self.now();
         let own = self.record();
         let own = (!self.is_leaving()).then_some(&own);
@@ -64,12 +64,12 @@
         std::array::from_fn(|group| {
             let passes_over = |name: &str| member.passes_over(name, now);
             let place =
-                |region: &&str| peers.grantor_of(region, group as u64, own, passes_over, now);
+                |region: &&str| peers.coordinator_of(region, group as u64, own, passes_over, now);
             regions.iter().map(place).collect()
         })
     }
 
-    fn learn_places(&self, places: &[Vec<Option<GrantorPlace>>; GROUPS]) {
+    fn learn_places(&self, places: &[Vec<Option<CoordinatorAddress>>; GROUPS]) {
         let mut lists = self.limits.lists.borrow_mut();
         let mut known = self.limits.places.borrow_mut();
         known.clear();
--- a/src/entry/peers/grantors.rs
+++ b/src/entry/peers/coordinators.rs
@@ -14,7 +14,7 @@
 
 /// A host that coordinates limits, and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GrantorPlace {
+pub struct CoordinatorAddress {
     /// The host's name.
     pub name: String,
     /// Address for datagrams.
@@ -28,14 +28,14 @@
     /// limit can cost the coordinator one message, and a host with a tenth of a core takes ten
     /// times as long to answer it.
     #[must_use]
-    pub fn grantor_of(
+    pub fn coordinator_of(
         &self,
         region: &str,
         key: u64,
         own: Option<&HostRecord>,
         is_excluded: impl Fn(&str) -> bool,
         now: Moment,
-    ) -> Option<GrantorPlace> {
+    ) -> Option<CoordinatorAddress> {
         let timeout_ms = self.timeout_ms(region);
         let peers = self.in_region(region);
         let live = peers.filter(|peer| peer.may_be_alive(now, timeout_ms) && !peer.leaving);
@@ -45,7 +45,7 @@
         let first = live
             .chain(own)
             .min_by_key(|record| coordinator_rank(record, key))?;
-        Some(GrantorPlace {
+        Some(CoordinatorAddress {
             name: first.name.clone(),
             address: first.heartbeat_address,
         })
@@ -56,7 +56,7 @@
     /// store's entries if they cover all of `regions`. With the largest planned number instead,
     /// hosts got a seventh of their share for 5 s after a restart of all 67 hosts, and 8 in 10
     /// requests were refused during that time.
-    pub fn limit_hosts<'a>(
+    pub fn limit_host_count<'a>(
         &self,
         own_region: &str,
         mut regions: impl Iterator<Item = &'a str>,
--- a/src/entry/peers/limit_keepers.rs
+++ b/src/entry/peers/limit_owners.rs
@@ -7,23 +7,23 @@
 
 /// The owner of a server's limit, as seen from this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeeperPlace {
+pub enum LimitOwner {
     /// This host is the owner.
-    Own,
+    Local,
     /// Another host is the owner, or is in the owner's region and forwards to it.
-    At {
+    Remote {
         /// Address for datagrams.
         address: net::SocketAddr,
         /// Whether that host is in this host's region.
-        is_near: bool,
+        is_local: bool,
     },
     /// No possible owner is known.
-    Nowhere,
+    Unknown,
 }
 
 /// A search for the owner of a server's limit.
 #[derive(Debug, Clone, Copy)]
-pub struct KeeperQuery<'a> {
+pub struct LimitOwnerQuery<'a> {
     /// The server's region.
     pub region: &'a str,
     /// A hash of the server's identity and start.
@@ -31,7 +31,7 @@
     /// The host that searches.
     pub own: &'a HostRecord,
     /// Whether `own` may itself be the owner.
-    pub may_keep: bool,
+    pub may_own: bool,
 }
 
 impl PeerTable {
@@ -41,40 +41,40 @@
     /// regions poorly, so it sends to a recently seen host of the other region, which forwards to
     /// the owner.
     #[must_use]
-    pub fn limit_keeper(&self, query: &KeeperQuery<'_>, now: Moment) -> KeeperPlace {
+    pub fn limit_owner(&self, query: &LimitOwnerQuery<'_>, now: Moment) -> LimitOwner {
         let own_region = query.own.region.as_str();
-        let own = query.may_keep.then_some(query.own);
-        let inhabited = self.inhabited_regions(own, now);
-        let region = if inhabited.contains(query.region) {
+        let own = query.may_own.then_some(query.own);
+        let live = self.live_regions(own, now);
+        let region = if live.contains(query.region) {
             Some(query.region)
         } else {
-            inhabited.first().copied()
+            live.first().copied()
         };
         match region {
-            None => KeeperPlace::Nowhere,
-            Some(region) if region == own_region => self.near_keeper(query, own, now),
-            Some(region) => self.lately_heard(region, now),
+            None => LimitOwner::Unknown,
+            Some(region) if region == own_region => self.local_owner(query, own, now),
+            Some(region) => self.last_seen_in(region, now),
         }
     }
 
-    fn near_keeper(
+    fn local_owner(
         &self,
-        query: &KeeperQuery<'_>,
+        query: &LimitOwnerQuery<'_>,
         own: Option<&HostRecord>,
         now: Moment,
-    ) -> KeeperPlace {
-        let keeper = self.grantor_of(&query.own.region, query.server, own, |_| false, now);
-        match keeper {
-            None => KeeperPlace::Nowhere,
-            Some(keeper) if keeper.name == query.own.name => KeeperPlace::Own,
-            Some(keeper) => KeeperPlace::At {
-                address: keeper.address,
-                is_near: true,
+    ) -> LimitOwner {
+        let owner = self.coordinator_of(&query.own.region, query.server, own, |_| false, now);
+        match owner {
+            None => LimitOwner::Unknown,
+            Some(owner) if owner.name == query.own.name => LimitOwner::Local,
+            Some(owner) => LimitOwner::Remote {
+                address: owner.address,
+                is_local: true,
             },
         }
     }
 
-    fn lately_heard(&self, region: &str, now: Moment) -> KeeperPlace {
+    fn last_seen_in(&self, region: &str, now: Moment) -> LimitOwner {
         let hosts = self
             .in_region(region)
             .filter(|peer| peer.was_alive_recently(now));
@@ -84,14 +84,14 @@
                 &peer.record.name,
             )
         });
-        last.map_or(KeeperPlace::Nowhere, |peer| KeeperPlace::At {
+        last.map_or(LimitOwner::Unknown, |peer| LimitOwner::Remote {
             address: peer.record.heartbeat_address,
-            is_near: false,
+            is_local: false,
         })
     }
 
     /// The regions that have a recently seen host, and the region of `own`.
-    fn inhabited_regions<'a>(
+    fn live_regions<'a>(
         &'a self,
         own: Option<&'a HostRecord>,
         now: Moment,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -6,21 +6,21 @@
 //! the store, and `registration`, `coordinators`, `limit_owners` and `suspect_trackers` the choice
 //! of hosts for other duties.
 
-mod grantors;
+mod coordinators;
 mod keepers;
-mod limit_keepers;
+mod limit_owners;
 mod peer_status;
 mod reconcile;
 mod region_size;
-mod suspect_keepers;
+mod suspect_trackers;
 mod targets;
 mod watchers;
 
 use std::{cell, collections, net, rc};
 
-pub use self::grantors::GrantorPlace;
+pub use self::coordinators::CoordinatorAddress;
 pub use self::keepers::ENTRY_KEEPERS;
-pub use self::limit_keepers::{KeeperPlace, KeeperQuery};
+pub use self::limit_owners::{LimitOwner, LimitOwnerQuery};
 pub use self::targets::{HEARTBEAT_FANOUT, RELAYS_PER_HALL, UpdateTargets};
 pub use self::watchers::WATCHERS;
 use super::hash;
--- a/src/entry/peers/suspect_keepers.rs
+++ b/src/entry/peers/suspect_trackers.rs
@@ -12,7 +12,7 @@
     /// host and fingerprint (rendezvous hashing; Thaler and Ravishankar, 1998). Hosts that know the
     /// same peers select the same trackers, except that each leaves itself out.
     #[must_use]
-    pub fn suspect_keepers(
+    pub fn suspect_trackers(
         &self,
         fingerprint: RequestFingerprint,
         count: usize,
@@ -29,7 +29,7 @@
 
     /// Whether `own` ranks first among all live hosts for this fingerprint.
     #[must_use]
-    pub fn is_first_keeper(
+    pub fn is_first_tracker(
         &self,
         own: &HostRecord,
         fingerprint: RequestFingerprint,
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -192,7 +192,7 @@
         let peers = self.peers.borrow();
         peers.is_listed()
             && !self.is_leaving()
-            && peers.is_first_keeper(&self.record(), fingerprint, now)
+            && peers.is_first_tracker(&self.record(), fingerprint, now)
     }
 
     /// Whether a request is kept from servers.
@@ -329,7 +329,7 @@
         let now = self.now();
         let peers = self.peers.borrow();
         for fingerprint in requests {
-            for keeper in peers.suspect_keepers(*fingerprint, KEEPERS, now) {
+            for keeper in peers.suspect_trackers(*fingerprint, KEEPERS, now) {
                 by_keeper.entry(keeper).or_default().push(*fingerprint);
             }
         }
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -122,7 +122,7 @@
         let now = self.now();
         let record = self.quarantine.barred_record(fingerprint, now);
         let peers = self.peers.borrow();
-        let is_first = peers.is_first_keeper(&self.record(), fingerprint, now);
+        let is_first = peers.is_first_tracker(&self.record(), fingerprint, now);
         if let Some(record) = record.filter(|_| is_first) {
             self.quarantine.push_store_task(StoreTask::Write(record));
         }
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -11,7 +11,7 @@
 use super::limits::message::RightVerdict;
 use super::limits::{FAR_WAIT_MS, NEAR_WAIT_MS};
 use super::peer_message::PeerMessage;
-use super::peers::{KeeperPlace, KeeperQuery};
+use super::peers::{LimitOwner, LimitOwnerQuery};
 use super::pending_answers::PendingAnswers;
 use super::server_limit::message::{
     LimitWord, SendRightAnswer, SendRightRequest, ServerLimitMessage,
@@ -129,11 +129,11 @@
 
     async fn ask_for_send(&self, server: &FleetServer, word: LimitWord) -> Option<RightVerdict> {
         match self.keeper_of(server) {
-            KeeperPlace::Own => Some(self.grant_send(server)),
-            KeeperPlace::Nowhere => None,
-            KeeperPlace::At { address, is_near } => {
+            LimitOwner::Local => Some(self.grant_send(server)),
+            LimitOwner::Unknown => None,
+            LimitOwner::Remote { address, is_local } => {
                 self.server_limits.on_other_keeper(server.start_hash);
-                self.ask_keeper(address, is_near, word).await
+                self.ask_keeper(address, is_local, word).await
             }
         }
     }
@@ -141,7 +141,7 @@
     async fn ask_keeper(
         &self,
         address: net::SocketAddr,
-        is_near: bool,
+        is_local: bool,
         word: LimitWord,
     ) -> Option<RightVerdict> {
         let asked_at = self.now();
@@ -152,7 +152,7 @@
             reply_to: None,
         });
         gossip::send(self, &PeerMessage::ServerLimit(request), &[address]);
-        let wait_ms = if is_near { NEAR_WAIT_MS } else { FAR_WAIT_MS };
+        let wait_ms = if is_local { NEAR_WAIT_MS } else { FAR_WAIT_MS };
         let wait = time::Duration::from_millis(wait_ms);
         let answer = self
             .server_limits
@@ -164,16 +164,16 @@
         (!is_late).then_some(answer.verdict)
     }
 
-    fn keeper_of(&self, server: &FleetServer) -> KeeperPlace {
+    fn keeper_of(&self, server: &FleetServer) -> LimitOwner {
         let own = self.record();
         let peers = self.peers.borrow();
-        let query = KeeperQuery {
+        let query = LimitOwnerQuery {
             region: &server.region,
             server: server.start_hash,
             own: &own,
-            may_keep: !self.is_leaving(),
+            may_own: !self.is_leaving(),
         };
-        peers.limit_keeper(&query, self.now())
+        peers.limit_owner(&query, self.now())
     }
 
     /// Gives out a right as the keeper. A host that has not met the others of its region is none: it might take itself
@@ -247,12 +247,12 @@
         let server = self.fleet.borrow().of_start(request.word.server);
         let place = server
             .as_ref()
-            .map_or(KeeperPlace::Nowhere, |server| self.keeper_of(server));
+            .map_or(LimitOwner::Unknown, |server| self.keeper_of(server));
         let verdict = match (place, &server) {
-            (KeeperPlace::Own, Some(server)) => self.grant_send(server),
-            (KeeperPlace::At { address, is_near }, _) => {
+            (LimitOwner::Local, Some(server)) => self.grant_send(server),
+            (LimitOwner::Remote { address, is_local }, _) => {
                 self.server_limits.on_other_keeper(request.word.server);
-                if is_near && request.reply_to.is_none() {
+                if is_local && request.reply_to.is_none() {
                     self.pass_on_request(request, source, address);
                     return;
                 }
--- a/tests/entry_grantors.rs
+++ b/tests/entry_grantors.rs
@@ -26,7 +26,7 @@
 }
 
 fn grantors(peers: &PeerTable, own: Option<&HostRecord>, now: Moment) -> Vec<Option<String>> {
-    let grantor = |group| peers.grantor_of("one", group, own, |_| false, now);
+    let grantor = |group| peers.coordinator_of("one", group, own, |_| false, now);
     let found = (0..GROUPS as u64).map(grantor);
     found.map(|place| place.map(|place| place.name)).collect()
 }
@@ -57,7 +57,7 @@
     let silent_ms = SILENT_MS.max(INDIRECT_SILENT_MS);
     assert!(grantors(&peers, None, Moment(silent_ms + 1))[0].is_none());
     let first = grantors(&peers, None, Moment(0))[0].clone();
-    let next = peers.grantor_of(
+    let next = peers.coordinator_of(
         "one",
         0,
         None,
@@ -84,16 +84,19 @@
 fn a_starting_host_counts_many_until_all_regions_were_told() {
     let mut peers = table(&hosts("one", 3, 100));
     let regions = || ["one", "two"].into_iter();
-    let many = peers.limit_hosts("one", regions());
+    let many = peers.limit_host_count("one", regions());
     assert!(many >= 470, "{many}");
     let told = |region: &str, count: u32| HostRecord {
         region_hosts: count,
         ..peer_records::record(&format!("{region}-told"), "east", region, 100)
     };
     peers.on_record(&told("one", 22), Moment(0));
-    assert!(peers.limit_hosts("one", regions()) >= 470, "one is missing");
+    assert!(
+        peers.limit_host_count("one", regions()) >= 470,
+        "one is missing"
+    );
     peers.on_record(&told("two", 21), Moment(0));
-    assert_eq!(peers.limit_hosts("one", regions()), 43);
+    assert_eq!(peers.limit_host_count("one", regions()), 43);
 }
 
 #[test]
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -269,11 +269,11 @@
         let mut first = Vec::new();
         for own in &all {
             let peers = table_without(own, &all, START);
-            let keepers = peers.suspect_keepers(request, KEEPERS, START);
+            let keepers = peers.suspect_trackers(request, KEEPERS, START);
             assert_eq!(keepers.len(), KEEPERS);
             // A keeper counts itself and names the next one in its place.
             named.extend(keepers);
-            first.extend(peers.is_first_keeper(own, request, START).then_some(own));
+            first.extend(peers.is_first_tracker(own, request, START).then_some(own));
         }
         assert!(named.len() <= KEEPERS + 1, "{named:?}");
         assert_eq!(first.len(), 1, "one host takes the trials");
@@ -288,10 +288,10 @@
     let long_after = START.plus(60_000);
     assert!(
         peers
-            .suspect_keepers(DEADLY, KEEPERS, long_after)
+            .suspect_trackers(DEADLY, KEEPERS, long_after)
             .is_empty()
     );
-    assert!(peers.is_first_keeper(&all[0], DEADLY, long_after));
+    assert!(peers.is_first_tracker(&all[0], DEADLY, long_after));
 }
 
 /// A whole hall may end at once; a datagram that does not fit into a frame is lost more often, and a larger one whole.
