--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -200,7 +200,7 @@
     let heard_us = micros(200, |number| {
         let beat = &beats[number as usize % beats.len()];
         peers.on_heartbeat(beat, Moment(200 + number));
-        black_box(peers.unknown_hosts(beat, &own, Moment(200 + number)));
+        black_box(peers.missing_hosts_request(beat, &own, Moment(200 + number)));
     });
     println!("| {count} | {bytes} | {told_us:.1} | {heard_us:.1} |");
 }
--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -231,7 +231,7 @@
         let before = host.configuration_version();
         host.install_configuration(configuration, &source.to_string());
         if host.configuration_version() > before {
-            gossip::pass_on_configuration(host);
+            gossip::forward_configuration_announcement(host);
         }
     }
     FetchEnd::of(fetched.as_ref())
@@ -278,13 +278,13 @@
     source: net::SocketAddr,
 ) {
     let source = source.to_string();
-    host_gossip::learn_hosts(host, &snapshot.hosts);
+    host_gossip::add_hosts(host, &snapshot.hosts);
     let now = host.now();
     let mut peers = host.peers.borrow_mut();
-    peers.on_told_sizes(&snapshot.region_sizes, now);
+    peers.on_reported_sizes(&snapshot.region_sizes, now);
     drop(peers);
     if snapshot.hosts_listed {
-        host.peers.borrow_mut().on_listed();
+        host.peers.borrow_mut().on_membership_complete();
     }
     if let Some(configuration) = &snapshot.configuration {
         host.install_configuration(configuration, &source);
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -69,7 +69,7 @@
     let targets = {
         let mut random = host.random.borrow_mut();
         let region = &host.settings().region;
-        host.peers.borrow().all_near(region, &mut random)
+        host.peers.borrow().broadcast_targets(region, &mut random)
     };
     send(host, &message, &targets);
 }
@@ -79,7 +79,7 @@
     let targets = {
         let mut random = host.random.borrow_mut();
         let region = &host.settings().region;
-        host.peers.borrow().some_near(region, &mut random)
+        host.peers.borrow().announce_targets(region, &mut random)
     };
     send(
         host,
@@ -89,9 +89,12 @@
 }
 
 /// Announces a fetched configuration further if the region is too large for the first announcement.
-pub fn pass_on_configuration<W: WireProtocol>(host: &EntryHost<W>) {
-    let must_pass_on = host.peers.borrow().must_pass_on(&host.settings().region);
-    if must_pass_on {
+pub fn forward_configuration_announcement<W: WireProtocol>(host: &EntryHost<W>) {
+    let must_forward_announcement = host
+        .peers
+        .borrow()
+        .must_forward_announcement(&host.settings().region);
+    if must_forward_announcement {
         announce_configuration(host);
     }
 }
@@ -215,8 +218,8 @@
     let (local, remote) = {
         let mut random = host.random.borrow_mut();
         let peers = host.peers.borrow();
-        let local = peers.near_targets(&region, &mut random);
-        (local, peers.far_targets(&region, &mut random))
+        let local = peers.local_targets(&region, &mut random);
+        (local, peers.remote_targets(&region, &mut random))
     };
     let remote_heartbeat = heartbeat.for_other_regions();
     send(host, &PeerMessage::Heartbeat(Box::new(heartbeat)), &local);
@@ -253,8 +256,8 @@
                 relay_fleet_update(&host, update, source);
             }
             Ok(PeerMessage::Hosts(update)) => host_gossip::on_host_update(&host, &update),
-            Ok(PeerMessage::WhoIs(request)) => host_gossip::tell_who(&host, &request, source),
-            Ok(PeerMessage::Who(records)) => host_gossip::on_who(&host, &records),
+            Ok(PeerMessage::WhoIs(request)) => host_gossip::answer_who_is(&host, &request, source),
+            Ok(PeerMessage::Who(records)) => host_gossip::on_requested_hosts(&host, &records),
             Ok(PeerMessage::Limit(message)) => limit_role::on_message(&host, message, source),
             Ok(PeerMessage::Quarantine(message)) => quarantine_role::on_message(&host, &message),
             Ok(PeerMessage::ServerLimit(message)) => {
@@ -284,7 +287,7 @@
         let introduction = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
         send(host, &introduction, &[source]);
     }
-    host_gossip::ask_who(host, heartbeat, source);
+    host_gossip::request_missing_hosts(host, heartbeat, source);
     let position = heartbeat.fleet_changed.max(heartbeat.evacuation_changed);
     host.on_store_position(position, &heartbeat.host);
     let is_same = heartbeat.configuration_version == host.configuration_version();
@@ -292,7 +295,7 @@
         host.on_configuration_confirmed(now);
     }
     let event = match change {
-        PeerChange::Heard => Some(EventCode::MemberJoined),
+        PeerChange::Appeared => Some(EventCode::MemberJoined),
         PeerChange::Leaving => Some(EventCode::MemberLeaving),
         PeerChange::None => None,
     };
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -44,7 +44,7 @@
     let mut was_keeper = false;
     while !host.is_leaving() {
         tokio::time::sleep(OWN_ENTRY_CHECK).await;
-        let keeps = host.keeps_entry();
+        let keeps = host.should_register();
         // Twice in a row: another may only have missed a heartbeat.
         let is_due = keeps && was_keeper && host.own_entry.get().is_none();
         was_keeper = keeps;
@@ -79,27 +79,27 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    fn keeps_entry(&self) -> bool {
+    fn should_register(&self) -> bool {
         let now = self.now();
-        now.0 >= SETTLE_MS && self.peers.borrow().keeps_entry(&self.record(), now)
+        now.0 >= SETTLE_MS && self.peers.borrow().should_register(&self.record(), now)
     }
 
     /// Whether this host has probably met all others of its region: it knows all hosts, or has run for as long as
     /// that takes.
     pub(super) fn has_met_region(&self) -> bool {
-        self.now().0 >= SETTLE_MS || self.peers.borrow().is_listed()
+        self.now().0 >= SETTLE_MS || self.peers.borrow().is_membership_complete()
     }
 
     /// Takes all hosts for known once there was time to hear of them, and a host of each hall is known.
     pub(super) fn look_for_all_hosts(&self, now: Moment) {
-        if now.0 < ALL_MET_MS || self.peers.borrow().is_listed() {
+        if now.0 < ALL_MET_MS || self.peers.borrow().is_membership_complete() {
             return;
         }
         let settings = self.settings();
         let halls = settings.halls.names().filter(|hall| *hall != settings.hall);
         let mut peers = self.peers.borrow_mut();
         if peers.knows_halls(halls) || now.0 >= ALL_MET_AT_LAST_MS {
-            peers.on_listed();
+            peers.on_membership_complete();
         }
     }
 
@@ -172,7 +172,7 @@
         if !host.peers.borrow().is_first_watcher(&own, now) {
             continue;
         }
-        host_gossip::spread_hosts(&host, &[], &forgotten);
+        host_gossip::broadcast_host_update(&host, &[], &forgotten);
         let abandoned = host.peers.borrow().abandoned_entries(&own);
         for entry in abandoned {
             remove_abandoned(&host, &*store, &entry).await;
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -29,7 +29,7 @@
 
 /// Sends host changes that the store does not report to this region and, through relays, to each
 /// other region.
-pub(super) fn spread_hosts<W: WireProtocol>(
+pub(super) fn broadcast_host_update<W: WireProtocol>(
     host: &EntryHost<W>,
     joined: &[HostRecord],
     gone: &[GoneHost],
@@ -66,14 +66,14 @@
 }
 
 /// Asks the sender of a heartbeat for the hosts that it reports and that are unknown here.
-pub(super) fn ask_who<W: WireProtocol>(
+pub(super) fn request_missing_hosts<W: WireProtocol>(
     host: &EntryHost<W>,
     heartbeat: &PeerHeartbeat,
     source: net::SocketAddr,
 ) {
     let own = host.record();
     let mut peers = host.peers.borrow_mut();
-    let request = peers.unknown_hosts(heartbeat, &own, host.now());
+    let request = peers.missing_hosts_request(heartbeat, &own, host.now());
     drop(peers);
     if let Some(request) = request {
         host.metrics.borrow_mut().unknown_hosts_told += request.unknown.len() as u64;
@@ -81,7 +81,7 @@
     }
 }
 
-pub(super) fn tell_who<W: WireProtocol>(
+pub(super) fn answer_who_is<W: WireProtocol>(
     host: &EntryHost<W>,
     request: &WhoIsRequest,
     source: net::SocketAddr,
@@ -96,7 +96,7 @@
 
 /// Adds the requested hosts, and introduces this host to some of those that are new. All others
 /// learn of it through these.
-pub(super) fn on_who<W: WireProtocol>(host: &EntryHost<W>, known: &[KnownHost]) {
+pub(super) fn on_requested_hosts<W: WireProtocol>(host: &EntryHost<W>, known: &[KnownHost]) {
     let records: Vec<HostRecord> = known.iter().map(|known| known.record.clone()).collect();
     let peers = host.peers.borrow();
     // A host that has restarted learns of this one when it joins.
@@ -108,7 +108,7 @@
         .map(|record| record.heartbeat_address)
         .collect();
     drop(peers);
-    learn_hosts(host, &records);
+    add_hosts(host, &records);
     let statuses: Vec<PeerStatus> = known.iter().filter_map(|known| known.heard).collect();
     let now = host.now();
     host.peers.borrow_mut().on_statuses(&statuses, now);
@@ -129,7 +129,7 @@
         };
         gossip::send(host, &PeerMessage::Hosts(forwarded), &local);
     }
-    learn_hosts(host, &update.joined);
+    add_hosts(host, &update.joined);
     for gone in &update.gone {
         on_host_gone(host, gone);
     }
@@ -146,7 +146,7 @@
 }
 
 /// Adds hosts reported by other hosts or by the store.
-pub(super) fn learn_hosts<W: WireProtocol>(host: &EntryHost<W>, records: &[HostRecord]) {
+pub(super) fn add_hosts<W: WireProtocol>(host: &EntryHost<W>, records: &[HostRecord]) {
     let now = host.now();
     let own = host.settings().name.clone();
     let mut peers = host.peers.borrow_mut();
--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -218,7 +218,7 @@
 fn on_asker<W: WireProtocol>(host: &EntryHost<W>, question: &JoinQuestion) {
     let record = &question.record;
     if host.peers.borrow().run_of(&record.name) < record.run {
-        host_gossip::learn_hosts(host, std::slice::from_ref(record));
+        host_gossip::add_hosts(host, std::slice::from_ref(record));
         host.join.on_met(record.clone());
     }
 }
@@ -226,7 +226,7 @@
 /// Tells others of the hosts that have asked since the last time.
 pub(super) fn spread_met<W: WireProtocol>(host: &EntryHost<W>) {
     let met = host.join.met.take();
-    host_gossip::spread_hosts(host, &met, &[]);
+    host_gossip::broadcast_host_update(host, &met, &[]);
 }
 
 async fn park<W: WireProtocol>(
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_asking.rs
@@ -66,7 +66,7 @@
     }
     let listed = tokio::time::timeout(ANSWER_LIMIT, store.list_hosts_stale()).await;
     match listed.unwrap_or(Err(StoreFault::Unreachable)) {
-        Ok(records) => host_gossip::learn_hosts(&host, &records),
+        Ok(records) => host_gossip::add_hosts(&host, &records),
         Err(fault) => {
             let fields =
                 json!({ "kind": "hosts", "call": "stale list", "result": fault.to_string() });
@@ -76,7 +76,7 @@
     }
     let own = host.record();
     while !host.is_ready() && !host.is_leaving() && host.is_starting() {
-        let keepers = host.peers.borrow().hall_keepers(&own);
+        let keepers = host.peers.borrow().registered_hall_hosts(&own);
         join_once(&host, &keepers).await;
         tokio::time::sleep(time::Duration::from_millis(ROUND_PAUSE_MS)).await;
     }
@@ -127,7 +127,7 @@
 /// the first here.
 fn announce_elsewhere<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
     let region = host.settings().region.clone();
-    let is_near = host.peers.borrow().stands_in(source, &region);
+    let is_near = host.peers.borrow().is_in_region(source, &region);
     if !is_near {
         gossip::announce_start(host);
     }
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -170,12 +170,12 @@
     let own = host.record();
     let own = host.is_ready().then_some(&own);
     let peers = host.peers.borrow();
-    let live = peers.named_for(&question.region, own, host.now());
+    let live = peers.advertised_for(&question.region, own, host.now());
     let named = named_part(live.addresses, &mut host.random.borrow_mut());
     if named.is_empty() {
         return plain(http::StatusCode::SERVICE_UNAVAILABLE);
     }
-    let wanted = if live.is_elsewhere {
+    let wanted = if live.is_remote {
         STOPGAP_TIME_TO_LIVE
     } else {
         TIME_TO_LIVE
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -7,11 +7,11 @@
 //! of hosts for other duties.
 
 mod coordinators;
-mod keepers;
 mod limit_owners;
 mod peer_status;
 mod reconcile;
 mod region_size;
+mod registration;
 mod suspect_trackers;
 mod targets;
 mod watchers;
@@ -19,10 +19,10 @@
 use std::{cell, collections, net, rc};
 
 pub use self::coordinators::CoordinatorAddress;
-pub use self::keepers::ENTRY_KEEPERS;
 pub use self::limit_owners::{LimitOwner, LimitOwnerQuery};
+pub use self::registration::REGISTERED_HOSTS_PER_HALL;
 pub use self::targets::{HEARTBEAT_FANOUT, RELAYS_PER_HALL, UpdateTargets};
-pub use self::watchers::WATCHERS;
+pub use self::watchers::WATCHERS_PER_REGION;
 use super::hash;
 use super::peer_message::{PeerHeartbeat, WatchState};
 use crate::timer::Moment;
@@ -30,10 +30,10 @@
 /// A host not seen for this long is no longer advertised to callers, in milliseconds. Four
 /// heartbeats fit in, so one lost datagram changes nothing, and it is well below the time within
 /// which callers must stop being sent to a failed host.
-pub const SILENT_MS: u64 = 2_000;
+pub const PEER_TIMEOUT_MS: u64 = 2_000;
 /// The same in a region where most hosts are seen only through gossip: two more heartbeats for the
 /// status to spread, in milliseconds.
-pub const INDIRECT_SILENT_MS: u64 = 3_000;
+pub const INDIRECT_PEER_TIMEOUT_MS: u64 = 3_000;
 /// A host of the own region not seen for this long is forgotten and its entry is removed from the
 /// store, in milliseconds.
 const REMOVE_TIMEOUT_MS: u64 = 20_000;
@@ -106,7 +106,7 @@
         self.leaving |= heartbeat.leaving;
         match (starts_leaving, was_silent) {
             (true, _) => PeerChange::Leaving,
-            (false, true) => PeerChange::Heard,
+            (false, true) => PeerChange::Appeared,
             (false, false) => PeerChange::None,
         }
     }
@@ -114,19 +114,19 @@
 
 /// Hosts that callers may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct NamedHosts {
+pub struct AdvertisedHosts {
     /// Addresses for callers.
     pub addresses: Vec<net::SocketAddr>,
     /// Whether the hosts are in other regions than the caller, because none of the caller's region
     /// is known to be alive.
-    pub is_elsewhere: bool,
+    pub is_remote: bool,
 }
 
 /// The effect of a heartbeat, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerChange {
     /// A host or a new run of it was seen for the first time, or again after a timeout.
-    Heard,
+    Appeared,
     /// The host announced its shutdown.
     Leaving,
     /// Nothing that concerns callers.
@@ -149,7 +149,7 @@
     /// 7.3 ms of a whole core for 295 hosts; this takes 0.17 ms.
     name_hashes: cell::RefCell<Option<rc::Rc<[u64]>>>,
     /// Entries of hosts in the store; filled only on hosts that watch the store.
-    store_entries: collections::HashMap<String, keepers::HostEntry>,
+    store_entries: collections::HashMap<String, registration::HostEntry>,
     /// The largest recently reported size of each region.
     reported_sizes: collections::BTreeMap<String, region_size::ReportedSize>,
     /// Whether the entries in the store were read at least once.
@@ -184,7 +184,7 @@
         // Hosts that start together find no entries in the store and learn of each other by
         // heartbeats.
         if self.entries_read && self.store_entries.is_empty() {
-            self.on_listed();
+            self.on_membership_complete();
         }
         let count = self.region_counts.entry(record.region.clone());
         *count.or_default() += 1;
@@ -213,7 +213,7 @@
             .peers
             .get(&heartbeat.host)
             .map(|peer| &peer.record.region);
-        let timeout_ms = region.map_or(SILENT_MS, |region| self.timeout_ms(region));
+        let timeout_ms = region.map_or(PEER_TIMEOUT_MS, |region| self.timeout_ms(region));
         match self.peers.get_mut(&heartbeat.host) {
             Some(peer) if peer.record.run == heartbeat.run => {
                 peer.on_heartbeat(heartbeat, now, timeout_ms)
@@ -260,9 +260,9 @@
     fn timeout_ms(&self, region: &str) -> u64 {
         let count = self.region_counts.get(region);
         if count.is_some_and(|count| *count as usize > HEARTBEAT_FANOUT) {
-            INDIRECT_SILENT_MS
+            INDIRECT_PEER_TIMEOUT_MS
         } else {
-            SILENT_MS
+            PEER_TIMEOUT_MS
         }
     }
 
@@ -282,7 +282,7 @@
 
     /// Whether a known host in `region` has this peer address.
     #[must_use]
-    pub fn stands_in(&self, peer_address: net::SocketAddr, region: &str) -> bool {
+    pub fn is_in_region(&self, peer_address: net::SocketAddr, region: &str) -> bool {
         let mut hosts = self.in_region(region);
         hosts.any(|peer| peer.record.peer_address == peer_address)
     }
@@ -311,13 +311,13 @@
 
     /// Records that all hosts are known: another host reported a complete list, or enough time has
     /// passed.
-    pub const fn on_listed(&mut self) {
+    pub const fn on_membership_complete(&mut self) {
         self.membership_complete = true;
     }
 
     /// Whether all hosts are presumed to be known.
     #[must_use]
-    pub const fn is_listed(&self) -> bool {
+    pub const fn is_membership_complete(&self) -> bool {
         self.membership_complete
     }
 
@@ -329,17 +329,22 @@
     /// The hosts to advertise to a caller in `region`: all that are alive, ready and not leaving,
     /// and `own`. Hosts of other regions are included only if the caller's region has none.
     #[must_use]
-    pub fn named_for(&self, region: &str, own: Option<&HostRecord>, now: Moment) -> NamedHosts {
+    pub fn advertised_for(
+        &self,
+        region: &str,
+        own: Option<&HostRecord>,
+        now: Moment,
+    ) -> AdvertisedHosts {
         let local = self.live_addresses(|record| record.region == region, own, now);
         if !local.is_empty() {
-            return NamedHosts {
+            return AdvertisedHosts {
                 addresses: local,
-                is_elsewhere: false,
+                is_remote: false,
             };
         }
-        NamedHosts {
+        AdvertisedHosts {
             addresses: self.live_addresses(|_| true, own, now),
-            is_elsewhere: true,
+            is_remote: true,
         }
     }
 
--- a/src/entry/peers/peer_status.rs
+++ b/src/entry/peers/peer_status.rs
@@ -5,7 +5,7 @@
 //! seen hosts (Demers et al., 1987). The age of a status counts from when its host sent it, not
 //! from when it was relayed.
 
-use super::{INDIRECT_SILENT_MS, PeerEntry, PeerTable};
+use super::{INDIRECT_PEER_TIMEOUT_MS, PeerEntry, PeerTable};
 use crate::entry::hash;
 use crate::entry::peer_message::PeerStatus;
 use crate::timer::Moment;
@@ -64,7 +64,7 @@
     now: Moment,
 ) -> Vec<PeerStatus> {
     let mut statuses: Vec<PeerStatus> = peers
-        .filter_map(|peer| peer.status(INDIRECT_SILENT_MS, now))
+        .filter_map(|peer| peer.status(INDIRECT_PEER_TIMEOUT_MS, now))
         .collect();
     statuses.sort_unstable_by_key(|status| (status.age_tenths, status.name_hash));
     statuses.truncate(limit);
--- a/src/entry/peers/reconcile.rs
+++ b/src/entry/peers/reconcile.rs
@@ -81,7 +81,7 @@
     /// a second. Without these requests, hosts that missed each other's first heartbeats never
     /// discovered each other: in 5 of 40 starts of nine hosts the membership was incomplete after
     /// 16 s.
-    pub fn unknown_hosts(
+    pub fn missing_hosts_request(
         &mut self,
         heartbeat: &PeerHeartbeat,
         own: &HostRecord,
--- a/src/entry/peers/region_size.rs
+++ b/src/entry/peers/region_size.rs
@@ -63,7 +63,7 @@
     }
 
     /// Applies region sizes reported by another host.
-    pub fn on_told_sizes(&mut self, sizes: &[RegionSize], now: Moment) {
+    pub fn on_reported_sizes(&mut self, sizes: &[RegionSize], now: Moment) {
         for size in sizes {
             self.on_reported_size(&size.region, size.hosts, now);
         }
@@ -88,7 +88,7 @@
     /// started, the larger size reported to it; 0 if none was reported. Once a host knows all
     /// others it reports only its own count, because relayed sizes would never shrink.
     #[must_use]
-    pub fn told_region_size(&self, region: &str) -> u32 {
+    pub fn reported_region_size(&self, region: &str) -> u32 {
         if self.membership_complete {
             return self.region_size(region);
         }
--- a/src/entry/peers/keepers.rs
+++ b/src/entry/peers/registration.rs
@@ -13,7 +13,7 @@
 /// Hosts per hall that register in the store. With three, two may fail at the same moment and one
 /// is still found. If a whole hall or region is lost, the entries of the others remain; if all
 /// hosts are lost, they return at the same addresses and their entries remain.
-pub const ENTRY_KEEPERS: usize = 3;
+pub const REGISTERED_HOSTS_PER_HALL: usize = 3;
 /// A host of another region not seen for this long is forgotten, in milliseconds. Each heartbeat
 /// goes to two hosts of other regions, so in a fleet of 470 hosts a given one is seen about every
 /// 80 s.
@@ -29,24 +29,24 @@
 impl PeerTable {
     /// Whether `own` is one of the hosts of its hall that register in the store.
     #[must_use]
-    pub fn keeps_entry(&self, own: &HostRecord, now: Moment) -> bool {
+    pub fn should_register(&self, own: &HostRecord, now: Moment) -> bool {
         let timeout_ms = self.timeout_ms(&own.region);
         let before = self.in_region(&own.region).filter(|peer| {
             peer.record.hall == own.hall
-                && peer.record.watch_order() < own.watch_order()
+                && peer.record.watcher_rank() < own.watcher_rank()
                 && peer.is_active(now, timeout_ms)
         });
-        before.count() < ENTRY_KEEPERS
+        before.count() < REGISTERED_HOSTS_PER_HALL
     }
 
     /// Peer addresses of the hosts in the hall of `own` that are probably registered: the first by
     /// size and name hash.
     #[must_use]
-    pub fn hall_keepers(&self, own: &HostRecord) -> Vec<std::net::SocketAddr> {
+    pub fn registered_hall_hosts(&self, own: &HostRecord) -> Vec<std::net::SocketAddr> {
         let local = self.in_region(&own.region).map(|peer| &peer.record);
         let mut hall: Vec<_> = local.filter(|record| record.hall == own.hall).collect();
-        hall.sort_by_key(|record| record.watch_order());
-        let registered = hall.iter().take(ENTRY_KEEPERS);
+        hall.sort_by_key(|record| record.watcher_rank());
+        let registered = hall.iter().take(REGISTERED_HOSTS_PER_HALL);
         registered.map(|record| record.peer_address).collect()
     }
 
@@ -89,9 +89,11 @@
             self.on_entry(record);
             *halls.entry(&record.hall).or_default() += 1;
         }
-        let are_few = halls.values().all(|count| *count < ENTRY_KEEPERS);
+        let are_few = halls
+            .values()
+            .all(|count| *count < REGISTERED_HOSTS_PER_HALL);
         if are_few && !(records.is_empty() && self.may_have_peers && self.is_empty()) {
-            self.on_listed();
+            self.on_membership_complete();
         }
     }
 
--- a/src/entry/peers/targets.rs
+++ b/src/entry/peers/targets.rs
@@ -43,14 +43,14 @@
 impl PeerTable {
     /// Random hosts of the own region that a heartbeat goes to. The others learn of it by gossip.
     #[must_use]
-    pub fn near_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
+    pub fn local_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         self.region_addresses(region)
             .choose_multiple(random, HEARTBEAT_FANOUT)
     }
 
     /// Random hosts of other regions that a heartbeat goes to. The others learn of it by gossip.
     #[must_use]
-    pub fn far_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
+    pub fn remote_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let peers = self.peers.values();
         let remote = peers.filter(|peer| peer.record.region != region);
         let remote = remote.map(|peer| peer.record.heartbeat_address);
@@ -60,29 +60,29 @@
     /// Recipients of a message that spreads by gossip: some hosts of the own region and a few of
     /// others.
     #[must_use]
-    pub fn word_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
-        let mut targets = self.near_targets(region, random);
-        targets.extend(self.far_targets(region, random));
+    pub fn gossip_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
+        let mut targets = self.local_targets(region, random);
+        targets.extend(self.remote_targets(region, random));
         targets
     }
 
     /// Recipients of a message that the whole region needs at once. Other regions get it from their
     /// own watchers, or ask when a heartbeat shows that they are behind.
     #[must_use]
-    pub fn all_near(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
-        let remote = self.far_targets(region, random);
+    pub fn broadcast_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
+        let remote = self.remote_targets(region, random);
         self.region_addresses(region).chain(remote).collect()
     }
 
     /// First recipients of the announcement of a new configuration. In a large region, hosts that
     /// have fetched the configuration announce it further, so that not all fetch from one host.
     #[must_use]
-    pub fn some_near(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
+    pub fn announce_targets(&self, region: &str, random: &mut SmallRng) -> Vec<net::SocketAddr> {
         let local = self.region_addresses(region);
         let local = local.choose_multiple(random, ANNOUNCE_FANOUT);
         local
             .into_iter()
-            .chain(self.far_targets(region, random))
+            .chain(self.remote_targets(region, random))
             .collect()
     }
 
@@ -116,7 +116,7 @@
         remote.sort_by_key(|peer| {
             let is_silent = !peer.is_alive(now, REMOVE_TIMEOUT_MS);
             let record = &peer.record;
-            (&record.region, is_silent, record.watch_order())
+            (&record.region, is_silent, record.watcher_rank())
         });
         let regions = remote.chunk_by(|a, b| a.record.region == b.record.region);
         let remote = regions.flat_map(|hosts| hosts.iter().take(RELAYS_PER_REGION));
@@ -125,7 +125,7 @@
 
     /// Whether [`Self::announce_targets`] leaves out part of the region.
     #[must_use]
-    pub fn must_pass_on(&self, region: &str) -> bool {
+    pub fn must_forward_announcement(&self, region: &str) -> bool {
         self.in_region(region).count() > ANNOUNCE_FANOUT
     }
 
@@ -163,7 +163,7 @@
         };
         let mut local: Vec<&PeerEntry> = self.in_region(&own.region).collect();
         local.retain(|peer| is_own_share(&peer.record.hall));
-        local.sort_by_key(|peer| (&peer.record.hall, peer.record.watch_order()));
+        local.sort_by_key(|peer| (&peer.record.hall, peer.record.watcher_rank()));
         let timeout_ms = self.timeout_ms(&own.region);
         let mut targets = UpdateTargets::default();
         for hall in local.chunk_by(|a, b| a.record.hall == b.record.hall) {
--- a/src/entry/peers/watchers.rs
+++ b/src/entry/peers/watchers.rs
@@ -13,7 +13,7 @@
 use crate::timer::Moment;
 
 /// Hosts of a region that watch the store. The second one covers changes that the first misses.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_REGION: usize = 2;
 /// Maximum number of hosts of a region that call the store, however many hosts ranked before them
 /// cannot reach it. During an outage of the store, the others wait for updates from these. If the
 /// store refuses a third of the hosts, at least one of six is served with a probability of 0.998.
@@ -26,13 +26,13 @@
     pub fn is_watcher(&self, own: &HostRecord, now: Moment) -> bool {
         let timeout_ms = self.timeout_ms(&own.region);
         let before = self.in_region(&own.region).filter(|peer| {
-            peer.record.watch_order() < own.watch_order()
+            peer.record.watcher_rank() < own.watcher_rank()
                 && peer.may_be_alive(now, timeout_ms)
                 && !peer.leaving
         });
         let (unable, able): (Vec<_>, Vec<_>) =
             before.partition(|peer| peer.watch == WatchState::Blind);
-        able.len() < WATCHERS && unable.len() + able.len() < MAX_WATCHERS_PER_REGION
+        able.len() < WATCHERS_PER_REGION && unable.len() + able.len() < MAX_WATCHERS_PER_REGION
     }
 }
 
@@ -49,11 +49,11 @@
         let timeout_ms = self.timeout_ms(&own.region);
         let before = self.peers.values().filter(|peer| {
             peer.record.region == own.region
-                && peer.record.watch_order() < own.watch_order()
+                && peer.record.watcher_rank() < own.watcher_rank()
                 && peer.is_active(now, timeout_ms)
         });
         let records = before.map(|peer| &peer.record);
-        records.min_by_key(|record| record.watch_order())
+        records.min_by_key(|record| record.watcher_rank())
     }
 
     /// The regions except `region` that have a recently seen host.
@@ -68,7 +68,7 @@
 
 impl HostRecord {
     /// The order in which hosts of a region watch the store: larger hosts first, then by name hash.
-    pub(super) fn watch_order(&self) -> (cmp::Reverse<u32>, u64) {
+    pub(super) fn watcher_rank(&self) -> (cmp::Reverse<u32>, u64) {
         (
             cmp::Reverse(self.processor_milli),
             hash::of_name(&self.name),
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -190,7 +190,7 @@
     /// its ends, and only one that knows all others.
     fn tries_barred(&self, fingerprint: RequestFingerprint, now: Moment) -> bool {
         let peers = self.peers.borrow();
-        peers.is_listed()
+        peers.is_membership_complete()
             && !self.is_leaving()
             && peers.is_first_tracker(&self.record(), fingerprint, now)
     }
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -25,7 +25,7 @@
             heartbeat_address,
             // The share of a core is checked to be small.
             processor_milli: (settings.processor_share * 1_000.0) as u32,
-            region_hosts: self.peers.borrow().told_region_size(&settings.region),
+            region_hosts: self.peers.borrow().reported_region_size(&settings.region),
         }
     }
 
@@ -111,7 +111,7 @@
             evacuated: evacuations.stored().iter().cloned().collect(),
             evacuation_revision: evacuations.revision(),
             hosts,
-            hosts_listed: self.peers.borrow().is_listed(),
+            hosts_listed: self.peers.borrow().is_membership_complete(),
             suspects: self.quarantine.told_records(self.now()),
             region_sizes: self.region_sizes(),
             rollouts: self.rollouts.news(self.now()),
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -235,7 +235,7 @@
         let region = self.settings().region.clone();
         let targets = {
             let mut random = self.random.borrow_mut();
-            self.peers.borrow().word_targets(&region, &mut random)
+            self.peers.borrow().gossip_targets(&region, &mut random)
         };
         self.tell_limits(&news, &targets);
     }
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -39,7 +39,7 @@
                 _ => None,
             });
             let records: Vec<_> = records.collect();
-            host_gossip::learn_hosts(host, &records);
+            host_gossip::add_hosts(host, &records);
             host.peers.borrow_mut().on_entries(&records);
             look_for_own_entry(host, objects);
         }
@@ -114,7 +114,7 @@
             news.joined.push(record.clone());
         }
     }
-    host_gossip::learn_hosts(host, &news.joined);
+    host_gossip::add_hosts(host, &news.joined);
     host_gossip::send_host_update(host, news);
 }
 
--- a/tests/entry_grantors.rs
+++ b/tests/entry_grantors.rs
@@ -7,7 +7,7 @@
 
 use ledgespool::entry::limits::GROUPS;
 use ledgespool::entry::peer_message::{PeerHeartbeat, WatchState};
-use ledgespool::entry::peers::{HostRecord, INDIRECT_SILENT_MS, PeerTable, SILENT_MS};
+use ledgespool::entry::peers::{HostRecord, INDIRECT_PEER_TIMEOUT_MS, PEER_TIMEOUT_MS, PeerTable};
 use ledgespool::timer::Moment;
 
 fn table(records: &[HostRecord]) -> PeerTable {
@@ -54,7 +54,7 @@
 fn a_host_that_is_silent_is_no_grantor_and_one_passed_over_neither() {
     let all = hosts("one", 4, 500);
     let peers = table(&all);
-    let silent_ms = SILENT_MS.max(INDIRECT_SILENT_MS);
+    let silent_ms = PEER_TIMEOUT_MS.max(INDIRECT_PEER_TIMEOUT_MS);
     assert!(grantors(&peers, None, Moment(silent_ms + 1))[0].is_none());
     let first = grantors(&peers, None, Moment(0))[0].clone();
     let next = peers.coordinator_of(
@@ -103,7 +103,7 @@
 fn a_told_size_is_passed_on_while_starting_and_not_for_ever() {
     let mut peers = table(&hosts("one", 3, 100));
     assert_eq!(
-        peers.told_region_size("one"),
+        peers.reported_region_size("one"),
         0,
         "few were met, and none told"
     );
@@ -112,10 +112,10 @@
         ..peer_records::record("one-told", "east", "one", 100)
     };
     peers.on_record(&told, Moment(0));
-    assert_eq!(peers.told_region_size("one"), 22);
-    peers.on_listed();
+    assert_eq!(peers.reported_region_size("one"), 22);
+    peers.on_membership_complete();
     assert_eq!(
-        peers.told_region_size("one"),
+        peers.reported_region_size("one"),
         5,
         "four that are known, and itself"
     );
--- a/tests/entry_keepers.rs
+++ b/tests/entry_keepers.rs
@@ -6,7 +6,7 @@
 mod peer_records;
 
 use ledgespool::entry::peer_message::{PeerHeartbeat, RegionSize, WatchState};
-use ledgespool::entry::peers::{ENTRY_KEEPERS, HostRecord, PeerTable};
+use ledgespool::entry::peers::{HostRecord, PeerTable, REGISTERED_HOSTS_PER_HALL};
 use ledgespool::timer::Moment;
 
 use self::peer_records::record;
@@ -38,7 +38,7 @@
                 peers.on_heartbeat(&heartbeat(other), now);
             }
         }
-        peers.keeps_entry(own, now)
+        peers.should_register(own, now)
     };
     let registered = hosts.iter().filter(is_alive).filter(registers);
     registered.map(|host| host.name.clone()).collect()
@@ -51,9 +51,9 @@
     let mut peers = PeerTable::default();
     peers.on_other_seeds();
     peers.on_entries(&[]);
-    assert!(!peers.is_listed() && peers.host_count() > 100);
+    assert!(!peers.is_membership_complete() && peers.host_count() > 100);
     peers.on_record(&fleet(2)[0], Moment(0));
-    assert!(peers.is_listed());
+    assert!(peers.is_membership_complete());
     assert_eq!(peers.host_count(), 2);
     let mut alone = PeerTable::default();
     alone.on_entries(&[]);
@@ -66,7 +66,7 @@
         let registered = registered_hosts(&fleet(per_hall), &[], Moment(5_000));
         assert_eq!(
             registered.len(),
-            3 * ENTRY_KEEPERS,
+            3 * REGISTERED_HOSTS_PER_HALL,
             "{per_hall} hosts a hall: {registered:?}"
         );
         assert!(
@@ -92,7 +92,7 @@
         .collect();
     let after = registered_hosts(&hosts, &lost, Moment(9_000));
     let east = after.iter().filter(|name| name.starts_with("east")).count();
-    assert_eq!(east, ENTRY_KEEPERS);
+    assert_eq!(east, REGISTERED_HOSTS_PER_HALL);
     assert!(
         lost.iter()
             .all(|name| !after.iter().any(|other| other == name))
@@ -110,17 +110,20 @@
         };
         peers.on_heartbeat(&leaving, Moment(0));
     }
-    assert!(peers.keeps_entry(&hosts[3], Moment(1)));
+    assert!(peers.should_register(&hosts[3], Moment(1)));
 }
 
 #[test]
 fn a_list_of_entries_is_complete_only_if_halls_are_small() {
     let mut peers = PeerTable::default();
     peers.on_entries(&fleet(2));
-    assert!(peers.is_listed());
+    assert!(peers.is_membership_complete());
     let mut peers = PeerTable::default();
-    peers.on_entries(&fleet(ENTRY_KEEPERS));
-    assert!(!peers.is_listed(), "there may be any number of other hosts");
+    peers.on_entries(&fleet(REGISTERED_HOSTS_PER_HALL));
+    assert!(
+        !peers.is_membership_complete(),
+        "there may be any number of other hosts"
+    );
     assert!(
         peers.host_count() > 400,
         "a large count keeps shares of limits small"
@@ -136,11 +139,11 @@
         region: region.to_owned(),
         hosts: 98,
     };
-    peers.on_told_sizes(&[size("one"), size("two")], Moment(0));
+    peers.on_reported_sizes(&[size("one"), size("two")], Moment(0));
     for host in fleet(20) {
         peers.on_record(&host, Moment(0));
     }
-    peers.on_listed();
+    peers.on_membership_complete();
     let sizes = peers.hosts_by_region("one");
     assert_eq!((sizes["one"], sizes["two"]), (98, 98));
     let mut knows_more = record("more", "east", "one", 100);
--- a/tests/entry_membership.rs
+++ b/tests/entry_membership.rs
@@ -106,8 +106,8 @@
             if !count.is_multiple_of(HEARTBEATS_PER_RECORD) {
                 heartbeat.record = None;
             }
-            let local = self.tables[host].near_targets(&region, &mut self.random);
-            let remote = self.tables[host].far_targets(&region, &mut self.random);
+            let local = self.tables[host].local_targets(&region, &mut self.random);
+            let remote = self.tables[host].remote_targets(&region, &mut self.random);
             for target in local {
                 self.deliver(host, target, &heartbeat);
             }
@@ -133,7 +133,7 @@
         let own = self.records[to].clone();
         let now = self.now;
         self.tables[to].on_heartbeat(heartbeat, now);
-        let request = self.tables[to].unknown_hosts(heartbeat, &own, now);
+        let request = self.tables[to].missing_hosts_request(heartbeat, &own, now);
         let Some(request) = request else {
             return;
         };
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -8,7 +8,8 @@
 use ledgespool::entry::budget::{RetryShare, RetryWindow};
 use ledgespool::entry::peer_message::{self, PeerHeartbeat, PeerMessage, PeerStatus, WatchState};
 use ledgespool::entry::peers::{
-    HEARTBEAT_FANOUT, HostRecord, INDIRECT_SILENT_MS, PeerChange, PeerTable, SILENT_MS, WATCHERS,
+    HEARTBEAT_FANOUT, HostRecord, INDIRECT_PEER_TIMEOUT_MS, PEER_TIMEOUT_MS, PeerChange, PeerTable,
+    WATCHERS_PER_REGION,
 };
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
@@ -25,24 +26,32 @@
 fn a_host_is_advertised_while_alive_ready_and_not_leaving() {
     let mut peers = PeerTable::default();
     let other = host("b", "one", 200);
-    assert!(peers.named_for("one", None, Moment(0)).addresses.is_empty());
+    assert!(
+        peers
+            .advertised_for("one", None, Moment(0))
+            .addresses
+            .is_empty()
+    );
     peers.on_record(&other, Moment(0));
     assert!(
-        peers.named_for("one", None, Moment(0)).addresses.is_empty(),
+        peers
+            .advertised_for("one", None, Moment(0))
+            .addresses
+            .is_empty(),
         "a known host is not yet a live one"
     );
     let beat = heartbeat(&other, WatchState::Idle);
-    assert_eq!(peers.on_heartbeat(&beat, Moment(0)), PeerChange::Heard);
+    assert_eq!(peers.on_heartbeat(&beat, Moment(0)), PeerChange::Appeared);
     assert_eq!(
         peers
-            .named_for("one", None, Moment(SILENT_MS))
+            .advertised_for("one", None, Moment(PEER_TIMEOUT_MS))
             .addresses
             .len(),
         1
     );
     assert!(
         peers
-            .named_for("one", None, Moment(SILENT_MS + 1))
+            .advertised_for("one", None, Moment(PEER_TIMEOUT_MS + 1))
             .addresses
             .is_empty()
     );
@@ -56,14 +65,14 @@
     );
     assert!(
         peers
-            .named_for("one", None, Moment(10))
+            .advertised_for("one", None, Moment(10))
             .addresses
             .is_empty()
     );
     peers.on_heartbeat(&beat, Moment(11));
     assert!(
         peers
-            .named_for("one", None, Moment(11))
+            .advertised_for("one", None, Moment(11))
             .addresses
             .is_empty(),
         "a late datagram does not revert leaving"
@@ -71,7 +80,10 @@
     let again = HostRecord { run: 2, ..other };
     peers.on_heartbeat(&heartbeat(&again, WatchState::Idle), Moment(12));
     assert_eq!(
-        peers.named_for("one", None, Moment(12)).addresses.len(),
+        peers
+            .advertised_for("one", None, Moment(12))
+            .addresses
+            .len(),
         1,
         "a new run is advertised again"
     );
@@ -82,11 +94,11 @@
     let mut peers = PeerTable::default();
     let far = host("far", "two", 200);
     peers.on_heartbeat(&heartbeat(&far, WatchState::Idle), Moment(0));
-    let named = peers.named_for("one", None, Moment(0));
-    assert!(named.is_elsewhere && named.addresses.len() == 1);
+    let named = peers.advertised_for("one", None, Moment(0));
+    assert!(named.is_remote && named.addresses.len() == 1);
     let own = host("own", "one", 200);
-    let named = peers.named_for("one", Some(&own), Moment(0));
-    assert!(!named.is_elsewhere && named.addresses.len() == 1);
+    let named = peers.advertised_for("one", Some(&own), Moment(0));
+    assert!(!named.is_remote && named.addresses.len() == 1);
 }
 
 /// A region with more hosts than a heartbeat goes to, of which only the first has sent a heartbeat.
@@ -117,12 +129,15 @@
 fn a_host_is_advertised_when_others_report_it_alive() {
     let peers = large_region(&[status("h-07", 10)]);
     assert_eq!(
-        peers.named_for("one", None, Moment(10_000)).addresses.len(),
+        peers
+            .advertised_for("one", None, Moment(10_000))
+            .addresses
+            .len(),
         2
     );
-    let later = Moment(9_000 + INDIRECT_SILENT_MS + 1);
+    let later = Moment(9_000 + INDIRECT_PEER_TIMEOUT_MS + 1);
     assert_eq!(
-        peers.named_for("one", None, later).addresses.len(),
+        peers.advertised_for("one", None, later).addresses.len(),
         1,
         "the age counts from the host's own heartbeat"
     );
@@ -136,7 +151,10 @@
     };
     let peers = large_region(&[earlier, status("unknown", 0)]);
     assert_eq!(
-        peers.named_for("one", None, Moment(10_000)).addresses.len(),
+        peers
+            .advertised_for("one", None, Moment(10_000))
+            .addresses
+            .len(),
         1
     );
 }
@@ -150,8 +168,8 @@
         let record = host(&format!("h-{number:03}"), region, 200);
         peers.on_heartbeat(&heartbeat(&record, WatchState::Idle), Moment(0));
     }
-    let local = peers.near_targets("one", &mut random).len();
-    let remote = peers.far_targets("one", &mut random).len();
+    let local = peers.local_targets("one", &mut random).len();
+    let remote = peers.remote_targets("one", &mut random).len();
     assert!(
         local <= HEARTBEAT_FANOUT && remote <= 2,
         "{local} and {remote}"
@@ -231,7 +249,7 @@
             heard: table.recent_statuses("one", Moment(millis)),
             ..heartbeat(&self.records[number], WatchState::Idle)
         };
-        for target in table.near_targets("one", &mut self.random) {
+        for target in table.local_targets("one", &mut self.random) {
             let target = usize::from(target.port() - 1_000);
             if target != 0 || millis <= crash_ms {
                 let arrives = Moment(millis + self.random.random_range(1..=Self::MAX_LATENCY_MS));
@@ -246,7 +264,7 @@
         let others = (1..self.tables.len()).filter(|other| *other != number);
         others
             .filter(|other| {
-                let named = self.tables[*other].named_for("one", None, Moment(millis));
+                let named = self.tables[*other].advertised_for("one", None, Moment(millis));
                 let named = named.addresses;
                 named.contains(&address)
             })
@@ -268,7 +286,7 @@
                 "{count} hosts: {advertising} of {others} advertise live host {number}"
             );
         }
-        let later = CRASH_MS + INDIRECT_SILENT_MS + 1_000;
+        let later = CRASH_MS + INDIRECT_PEER_TIMEOUT_MS + 1_000;
         region.run(CRASH_MS, later, CRASH_MS);
         assert_eq!(region.advertising(0, later), 0, "{count} hosts");
     }
@@ -298,7 +316,7 @@
             peers.on_heartbeat(&heartbeat(peer, state), Moment(0));
         }
         recipients.extend(peers.host_update_targets(own, Moment(0)));
-        let silent = Moment(INDIRECT_SILENT_MS + 1);
+        let silent = Moment(INDIRECT_PEER_TIMEOUT_MS + 1);
         assert_eq!(
             peers.host_update_targets(own, silent).len(),
             29,
@@ -328,10 +346,10 @@
     }
     assert!(
         peers.is_watcher(&own, Moment(1)),
-        "one of three reaches the store, {WATCHERS} must"
+        "one of three reaches the store, {WATCHERS_PER_REGION} must"
     );
     assert!(
-        peers.is_watcher(&own, Moment(SILENT_MS + 2)),
+        peers.is_watcher(&own, Moment(PEER_TIMEOUT_MS + 2)),
         "all larger hosts are silent"
     );
     let far = host("f", "two", 100);
@@ -363,7 +381,7 @@
         peers.host_count() >= 100,
         "the host may have just started among many"
     );
-    peers.on_listed();
+    peers.on_membership_complete();
     assert_eq!(peers.host_count(), 1);
 }
 
@@ -385,7 +403,7 @@
 #[test]
 fn limits_are_divided_by_the_reported_number_of_hosts_if_larger() {
     let mut peers = PeerTable::default();
-    peers.on_listed();
+    peers.on_membership_complete();
     for region in ["one", "two", "three"] {
         let record = HostRecord {
             region_hosts: 300,
