--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -12,13 +12,14 @@
 use super::fleet_change::ChangeSpan;
 use super::host::EntryHost;
 use super::lapse_hold::{MissingSource, ToldHolds};
-use super::partial_news::PartialNewsList;
+use super::partial_updates::PartialUpdates;
 use super::peer_message::{self, FleetUpdate, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
 use super::peers::PeerChange;
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use super::wire::WireProtocol;
 use super::{
-    catch_up, host_gossip, join_asking, limit_role, news_part, quarantine_role, server_limit_role,
+    catch_up, host_gossip, join_asking, limit_role, quarantine_role, server_limit_role,
+    update_fragment,
 };
 use crate::error::{self, Error};
 use crate::event::EventCode;
@@ -38,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct PeerSocket {
     socket: cell::OnceCell<rc::Rc<UdpSocket>>,
-    partial_updates: cell::RefCell<PartialNewsList>,
+    partial_updates: cell::RefCell<PartialUpdates>,
 }
 
 /// Starts the tasks that communicate with other hosts.
@@ -106,7 +107,7 @@
     until: u64,
     changes: &[ObjectChange],
 ) {
-    let fragments = news_part::parts_of(changes);
+    let fragments = update_fragment::split_changes(changes);
     let now = host.now();
     let targets = host
         .peers
@@ -243,7 +244,7 @@
 }
 
 async fn receive<W: WireProtocol>(host: rc::Rc<EntryHost<W>>, socket: rc::Rc<UdpSocket>) {
-    let mut buffer = vec![0_u8; 2 * news_part::MAX_DATAGRAM_BYTES];
+    let mut buffer = vec![0_u8; 2 * update_fragment::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
             tokio::time::sleep(HEARTBEAT_INTERVAL).await;
@@ -338,7 +339,7 @@
 
 pub(super) fn on_fleet_update<W: WireProtocol>(host: &EntryHost<W>, update: &FleetUpdate) {
     let holds = ToldHolds::from_gone(&update.gone, host.now());
-    let is_complete = host.socket.partial_updates.borrow_mut().on_part(update);
+    let is_complete = host.socket.partial_updates.borrow_mut().on_fragment(update);
     let fleet = host.fleet.borrow();
     let contiguous = is_complete && fleet.is_listed() && update.since <= fleet.revision();
     drop(fleet);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -72,7 +72,7 @@
     /// Whether this host watches the store.
     pub watch: WatchRole,
     /// Store revision of this host's own entry, once it is written.
-    pub(super) own_entry: cell::Cell<Option<u64>>,
+    pub(super) own_entry_revision: cell::Cell<Option<u64>>,
     /// Source of random choices.
     pub random: cell::RefCell<SmallRng>,
     settings: cell::RefCell<rc::Rc<EntrySettings>>,
@@ -95,7 +95,7 @@
     pub(super) leaving_news: LeavingNews,
     pub(super) rollouts: RolloutRole,
     /// The store's epoch, as observed by this host or reported by another.
-    pub(super) store_era: cell::Cell<u64>,
+    pub(super) store_epoch: cell::Cell<u64>,
 }
 
 impl<W: WireProtocol> EntryHost<W> {
@@ -123,7 +123,7 @@
             fetches: OpenFetches::default(),
             join: JoinState::default(),
             watch: WatchRole::default(),
-            own_entry: cell::Cell::new(None),
+            own_entry_revision: cell::Cell::new(None),
             random: cell::RefCell::new(SmallRng::seed_from_u64(seed)),
             settings: cell::RefCell::new(rc::Rc::new(settings)),
             clock: BootClock::start(),
@@ -141,7 +141,7 @@
             server_limits: ServerLimitRole::default(),
             leaving_news: LeavingNews::default(),
             rollouts: RolloutRole::default(),
-            store_era: cell::Cell::new(0),
+            store_epoch: cell::Cell::new(0),
         }
     }
 
@@ -258,7 +258,7 @@
             limit_hosts: self.limits.hosts(),
             suspects: self.quarantine.digest().count,
             barred_requests: self.quarantine.barred_count(),
-            store_era: self.store_era.get(),
+            store_era: self.store_epoch.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
             resting_servers: self.count_servers(|server| server.notice().is_resting(now)),
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -46,7 +46,7 @@
         tokio::time::sleep(OWN_ENTRY_CHECK).await;
         let keeps = host.should_register();
         // Twice in a row: another may only have missed a heartbeat.
-        let is_due = keeps && was_keeper && host.own_entry.get().is_none();
+        let is_due = keeps && was_keeper && host.own_entry_revision.get().is_none();
         was_keeper = keeps;
         if is_due && write_until_done(&host, &*store).await.is_none() {
             return;
@@ -63,7 +63,7 @@
     while !host.is_leaving() {
         match follow::within_limit(write_own(&host.record(), store)).await {
             Ok(OwnEntry::Written(revision)) => {
-                host.own_entry.set(Some(revision));
+                host.own_entry_revision.set(Some(revision));
                 return Some(());
             }
             Ok(OwnEntry::LaterRun) => return None,
@@ -106,7 +106,7 @@
     /// The own entry of `run` is gone from the store. An earlier run's end changes nothing.
     pub(super) fn on_own_entry_gone(&self, run: u64) {
         if run >= self.run && !self.is_leaving() {
-            self.own_entry.set(None);
+            self.own_entry_revision.set(None);
         }
     }
 }
@@ -145,7 +145,7 @@
     store: rc::Rc<S>,
 ) {
     let name = host.settings().name.clone();
-    let Some(revision) = host.own_entry.get() else {
+    let Some(revision) = host.own_entry_revision.get() else {
         return;
     };
     let removed = follow::within_limit(store.delete_host(&name, revision)).await;
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -22,11 +22,11 @@
     /// perhaps lost, and what this host has to write is written again.
     pub(super) fn on_store_position(&self, position: u64, source: &str) {
         let era = store_position::era_of(position);
-        let before = self.store_era.get();
+        let before = self.store_epoch.get();
         if era <= before {
             return;
         }
-        self.store_era.set(era);
+        self.store_epoch.set(era);
         // A host that has just started, or that never heard of eras, has lost nothing.
         if before == 0 {
             return;
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -51,13 +51,13 @@
 
 /// A store that came back from an older copy may have lost this host's entry, or shows it at another position.
 fn look_for_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
-    if host.own_entry.get().is_none() {
+    if host.own_entry_revision.get().is_none() {
         return;
     }
     let own_name = &host.settings().name;
     let own = objects.iter().find(|object| object.name == *own_name);
     match own {
-        Some(own) => host.own_entry.set(Some(own.revision)),
+        Some(own) => host.own_entry_revision.set(Some(own.revision)),
         None => host.on_own_entry_gone(host.run),
     }
 }
--- a/src/entry/news_part.rs
+++ b/src/entry/update_fragment.rs
@@ -19,8 +19,8 @@
 /// change of each server is included, because a fragment lists changed and gone servers without
 /// their order.
 #[must_use]
-pub fn parts_of(changes: &[ObjectChange]) -> Vec<NewsPart> {
-    let mut parts = vec![NewsPart::default()];
+pub fn split_changes(changes: &[ObjectChange]) -> Vec<UpdateFragment> {
+    let mut fragments = vec![UpdateFragment::default()];
     let last: collections::HashMap<&str, usize> = changes
         .iter()
         .enumerate()
@@ -30,26 +30,29 @@
         last.get(change.object.name.as_str()) == Some(index)
     };
     let changes = changes.iter().enumerate().filter(is_last);
-    for item in changes.filter_map(|(_, change)| NewsItem::from_change(change)) {
-        if parts.last().is_some_and(|part| !part.fits(&item)) {
-            parts.push(NewsPart::default());
+    for item in changes.filter_map(|(_, change)| UpdateItem::from_change(change)) {
+        if fragments
+            .last()
+            .is_some_and(|fragment| !fragment.fits(&item))
+        {
+            fragments.push(UpdateFragment::default());
         }
-        if let Some(part) = parts.last_mut() {
-            part.push(item);
+        if let Some(fragment) = fragments.last_mut() {
+            fragment.push(item);
         }
     }
-    parts
+    fragments
 }
 
 /// One server in an update.
-enum NewsItem {
+enum UpdateItem {
     /// The server joined or changed; with its encoded size in bytes.
     Changed(Box<ServerObject>, usize),
     /// The ID of a server that is gone.
     Gone(String),
 }
 
-impl NewsItem {
+impl UpdateItem {
     fn from_change(change: &ObjectChange) -> Option<Self> {
         if change.deleted {
             return Some(Self::Gone(change.object.name.clone()));
@@ -75,7 +78,7 @@
 
 /// The servers in one datagram.
 #[derive(Default, Debug)]
-pub struct NewsPart {
+pub struct UpdateFragment {
     /// Servers that joined or changed.
     pub changed: Vec<ServerObject>,
     /// IDs of servers that are gone.
@@ -83,16 +86,16 @@
     bytes: usize,
 }
 
-impl NewsPart {
-    const fn fits(&self, item: &NewsItem) -> bool {
+impl UpdateFragment {
+    const fn fits(&self, item: &UpdateItem) -> bool {
         self.bytes + item.bytes() + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES
     }
 
-    fn push(&mut self, item: NewsItem) {
+    fn push(&mut self, item: UpdateItem) {
         self.bytes += item.bytes();
         match item {
-            NewsItem::Changed(object, _) => self.changed.push(*object),
-            NewsItem::Gone(id) => self.gone.push(id),
+            UpdateItem::Changed(object, _) => self.changed.push(*object),
+            UpdateItem::Gone(id) => self.gone.push(id),
         }
     }
 }
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -4,11 +4,11 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_change::{ChangeSpan, FleetChange};
 use ledgespool::entry::lapse_hold::{LAPSE_GRACE_MS, MissingSource, ReturnSight, ToldHolds};
-use ledgespool::entry::news_part;
 use ledgespool::entry::peer_message::GoneServer;
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectChange, ObjectContent, StoredObject};
+use ledgespool::entry::update_fragment;
 use ledgespool::rollout::order::VersionTag;
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
@@ -202,7 +202,7 @@
     let told = fleet.changes_since(5, Moment(10_000)).expect("it is known");
     assert!(told.gone.is_empty(), "{told:?}");
     assert_eq!(told.changed.len(), 1);
-    let parts = news_part::parts_of(&changes);
+    let parts = update_fragment::split_changes(&changes);
     assert_eq!((parts.len(), parts[0].changed.len()), (1, 1));
     assert!(parts[0].gone.is_empty(), "its last change counts");
 }
