--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -121,7 +121,7 @@
         let now = self.now();
         if server.change_notice(|notice| notice.on_leaving(now)) {
             let fields = json!({ "server": server.id, "hall": server.hall, "source": source });
-            self.note(EventCode::ServerSaysLeaving, fields);
+            self.log_event(EventCode::ServerSaysLeaving, fields);
         }
     }
 
@@ -140,7 +140,7 @@
                 "hall": server.hall,
                 "rest_ms": rest.as_millis() as u64,
             });
-            self.note(EventCode::ServerRests, fields);
+            self.log_event(EventCode::ServerRests, fields);
         }
     }
 
@@ -149,7 +149,7 @@
         self.metrics.borrow_mut().words_unreadable += 1;
         if server.change_notice(ServerNotice::on_unreadable) {
             let fields = json!({ "server": server.id, "hall": server.hall, "word": word });
-            self.note(EventCode::ServerWordUnreadable, fields);
+            self.log_event(EventCode::ServerWordUnreadable, fields);
         }
     }
 }
--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -257,7 +257,7 @@
         .ok()?;
     let answer = http_client::exchange(source, request, FETCH_LIMIT, MAX_ANSWER_BYTES).await;
     let Ok(answer) = answer else {
-        host.note(
+        host.log_event(
             EventCode::PeerSilent,
             json!({ "peer": source.to_string(), "path": path }),
         );
@@ -266,7 +266,7 @@
     match peer_message::from_bytes(&answer.body) {
         Ok(value) => Some(value),
         Err(fault) => {
-            host.note_malformed(&source.to_string(), &fault);
+            host.log_malformed_message(&source.to_string(), &fault);
             None
         }
     }
--- a/src/entry/evacuation.rs
+++ b/src/entry/evacuation.rs
@@ -133,7 +133,7 @@
         }
         let revision = self.evacuation_revision();
         for hall in after.difference(&before) {
-            self.note(
+            self.log_event(
                 EventCode::HallEvacuated,
                 json!({ "hall": hall, "revision": revision }),
             );
@@ -143,7 +143,7 @@
     /// Servers that got nothing for a while may have turned cold, and the word of it may still be
     /// on its way.
     fn on_evacuation_end(&self, hall: &str) {
-        self.note(EventCode::HallTakenBack, json!({ "hall": hall }));
+        self.log_event(EventCode::HallTakenBack, json!({ "hall": hall }));
         let Some(routes) = self.routes() else { return };
         let now = self.now();
         for server in self.fleet.borrow().servers() {
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -177,7 +177,7 @@
         let word = word_of(result);
         if let Some(text) = self.store.take_odd_era() {
             self.host
-                .note(EventCode::StoreEraUnreadable, json!({ "era": text }));
+                .log_event(EventCode::StoreEraUnreadable, json!({ "era": text }));
         }
         self.host
             .metrics
@@ -202,7 +202,7 @@
 
     fn on_lost(&self, call: &'static str, word: &'static str) {
         let fields = json!({ "kind": self.kind.as_str(), "call": call, "result": word });
-        self.host.note(EventCode::PlatformLost, fields);
+        self.host.log_event(EventCode::PlatformLost, fields);
     }
 
     fn on_answered(&mut self, call: &'static str, began: Moment, revision: Option<u64>) {
@@ -223,7 +223,7 @@
             "call_ms": since(began),
             "last_failed_ms": self.last_failed.map(since),
         });
-        self.host.note(EventCode::PlatformFound, fields);
+        self.host.log_event(EventCode::PlatformFound, fields);
         if let (ObjectKind::Servers, Some(revision)) = (self.kind, revision) {
             let now = self.host.now();
             let sight = self.return_sight(now);
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -170,7 +170,7 @@
                 let _sent = socket.try_send_to(&bytes, *target);
             }
         }
-        Err(fault) => host.note_malformed("self", &fault),
+        Err(fault) => host.log_malformed_message("self", &fault),
     }
 }
 
@@ -271,7 +271,7 @@
             Ok(PeerMessage::RegionRollout(report)) => {
                 host.rollouts.on_region_report(report, host.now());
             }
-            Err(fault) => host.note_malformed(&source.to_string(), &fault),
+            Err(fault) => host.log_malformed_message(&source.to_string(), &fault),
         }
     }
 }
@@ -301,7 +301,7 @@
         PeerChange::None => None,
     };
     if let Some(event) = event {
-        host.note(
+        host.log_event(
             event,
             json!({ "peer": heartbeat.host, "run": heartbeat.run }),
         );
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -198,37 +198,37 @@
             "source": source,
         });
         let table = RouteTable::from_configuration(configuration.clone());
-        self.note_faults(configuration);
-        self.note_customer_faults(&table);
+        self.log_configuration_faults(configuration);
+        self.log_customer_faults(&table);
         *self.routes.borrow_mut() = Some(rc::Rc::new(table));
-        self.note(EventCode::ConfigInstalled, fields);
+        self.log_event(EventCode::ConfigInstalled, fields);
         self.limits.on_configured();
         self.on_learned(source);
     }
 
-    fn note_faults(&self, configuration: &ServiceConfiguration) {
+    fn log_configuration_faults(&self, configuration: &ServiceConfiguration) {
         for fault in &configuration.faults {
             let fields = json!({
                 "version": configuration.version,
                 "fault": fault.to_string(),
             });
-            self.note(EventCode::ConfigPartUnread, fields);
+            self.log_event(EventCode::ConfigPartUnread, fields);
         }
     }
 
-    fn note_customer_faults(&self, table: &RouteTable) {
+    fn log_customer_faults(&self, table: &RouteTable) {
         let faults = table.customers().map_or(&[][..], CustomerTable::faults);
         for fault in faults {
             let fields = json!({
                 "version": table.configuration().version,
                 "fault": fault.to_string(),
             });
-            self.note(EventCode::CustomerUnfit, fields);
+            self.log_event(EventCode::CustomerUnfit, fields);
         }
     }
 
     /// Writes a log line of high importance.
-    pub fn note(&self, event: EventCode, fields: serde_json::Value) {
+    pub fn log_event(&self, event: EventCode, fields: serde_json::Value) {
         self.log.write(event, LineWeight::Important, fields);
     }
 
@@ -239,9 +239,9 @@
     }
 
     /// Logs that a message of another host could not be decoded.
-    pub fn note_malformed(&self, source: &str, fault: &PeerFormatError) {
+    pub fn log_malformed_message(&self, source: &str, fault: &PeerFormatError) {
         let fields = json!({ "source": source, "fault": fault.to_string() });
-        self.note(EventCode::HeartbeatMalformed, fields);
+        self.log_event(EventCode::HeartbeatMalformed, fields);
     }
 
     /// Renders the metrics page.
@@ -278,7 +278,7 @@
     /// Runs the periodic tasks.
     pub(super) fn on_tick(&self) {
         let now = self.now();
-        self.note_stall(now);
+        self.log_stall(now);
         self.look_at_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
         self.note_fleet(&changes, "timer");
@@ -296,10 +296,10 @@
         self.log.flush();
     }
 
-    fn note_stall(&self, now: Moment) {
+    fn log_stall(&self, now: Moment) {
         let stall_ms = now.since(self.last_tick.replace(now));
         if stall_ms >= MIN_STALL_MS {
-            self.note(
+            self.log_event(
                 EventCode::ProcessStoodStill,
                 json!({ "stood_ms": stall_ms }),
             );
@@ -314,6 +314,6 @@
         let leave_ms = settings.bounds.leave_ms();
         self.fleet.borrow_mut().set_leave_ms(leave_ms);
         *self.settings.borrow_mut() = rc::Rc::new(settings);
-        self.note(EventCode::SettingsReloaded, json!({}));
+        self.log_event(EventCode::SettingsReloaded, json!({}));
     }
 }
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -69,7 +69,7 @@
             Ok(OwnEntry::LaterRun) => return None,
             Err(fault) => {
                 let fields = json!({ "fault": fault.to_string() });
-                host.note(EventCode::EntryNotWritten, fields);
+                host.log_event(EventCode::EntryNotWritten, fields);
             }
         }
         follow::pause_up_to(host, pause_ms).await;
@@ -151,7 +151,7 @@
     let removed = follow::within_limit(store.delete_host(&name, revision)).await;
     if let Err(fault) = removed {
         let fields = json!({ "peer": name, "fault": fault.to_string() });
-        host.note(EventCode::EntryNotRemoved, fields);
+        host.log_event(EventCode::EntryNotRemoved, fields);
     }
 }
 
@@ -167,7 +167,7 @@
         let own = host.record();
         let forgotten = host.peers.borrow_mut().forget_silent(&own.region, now);
         for gone in &forgotten {
-            host.note(EventCode::MemberDied, json!({ "peer": gone.name }));
+            host.log_event(EventCode::MemberDied, json!({ "peer": gone.name }));
         }
         if !host.peers.borrow().is_first_watcher(&own, now) {
             continue;
@@ -193,7 +193,7 @@
         }
         Err(fault) => {
             let fields = json!({ "peer": entry.name, "fault": fault.to_string() });
-            host.note(EventCode::EntryNotRemoved, fields);
+            host.log_event(EventCode::EntryNotRemoved, fields);
         }
     }
 }
--- a/src/entry/host_fleet.rs
+++ b/src/entry/host_fleet.rs
@@ -70,7 +70,7 @@
         if ids.len() <= SINGLE_LINES {
             for id in ids {
                 let fields = json!({ "server": id, "source": source, "revision": revision });
-                self.note(event, fields);
+                self.log_event(event, fields);
             }
             return;
         }
@@ -81,7 +81,7 @@
             "source": source,
             "revision": revision,
         });
-        self.note(event, fields);
+        self.log_event(event, fields);
     }
 
     /// One change that is told by itself.
@@ -106,7 +106,7 @@
             fields["hold_ms"] = lapsed.hold_ms.into();
             fields["reason"] = lapsed.reason.as_str().into();
         }
-        self.note(event, fields);
+        self.log_event(event, fields);
     }
 
     /// An answer of a server was lost or did not come in time.
@@ -124,6 +124,6 @@
     }
 
     fn note_ejected(&self, server: &FleetServer) {
-        self.note(EventCode::ServerEjected, json!({ "server": server.id }));
+        self.log_event(EventCode::ServerEjected, json!({ "server": server.id }));
     }
 }
--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -104,7 +104,7 @@
                 "servers": self.fleet.borrow().servers().count(),
                 "version": self.configuration_version(),
             });
-            self.note(EventCode::KnowledgeComplete, fields);
+            self.log_event(EventCode::KnowledgeComplete, fields);
             self.join.completed.notify_waiters();
         }
         let parked = self.join.parked.borrow_mut().take();
@@ -195,7 +195,7 @@
     let question = match peer_message::from_bytes::<JoinQuestion>(&body.ok()?.to_bytes()) {
         Ok(question) => question,
         Err(fault) => {
-            host.note_malformed("a host that starts", &fault);
+            host.log_malformed_message("a host that starts", &fault);
             return None;
         }
     };
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_asking.rs
@@ -70,7 +70,7 @@
         Err(fault) => {
             let fields =
                 json!({ "kind": "hosts", "call": "stale list", "result": fault.to_string() });
-            host.note(EventCode::PlatformLost, fields);
+            host.log_event(EventCode::PlatformLost, fields);
             return;
         }
     }
@@ -263,7 +263,7 @@
     let answer = tokio::time::timeout(ANSWER_LIMIT, exchange).await;
     let Ok(Ok(answer)) = answer else {
         let fields = json!({ "peer": source.to_string(), "path": join::JOIN_PATH });
-        host.note(EventCode::PeerSilent, fields);
+        host.log_event(EventCode::PeerSilent, fields);
         return None;
     };
     if !answer.status.is_success() {
@@ -272,7 +272,7 @@
     match peer_message::from_bytes(&answer.body) {
         Ok(answer) => Some(answer),
         Err(fault) => {
-            host.note_malformed(&source.to_string(), &fault);
+            host.log_malformed_message(&source.to_string(), &fault);
             None
         }
     }
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -43,7 +43,7 @@
     let listeners = listen::HostListeners::open(&host.settings())?;
     let first_start = host.settings().first_start;
     let fields = json!({ "run": host.run, "first_start": first_start });
-    host.note(EventCode::ProcessStarted, fields);
+    host.log_event(EventCode::ProcessStarted, fields);
     listeners.serve(&host);
     gossip::spawn(&host)?;
     join_asking::spawn(&host, &store);
@@ -53,7 +53,7 @@
     quarantine_role::spawn(&host, &store);
     rollout_role::spawn(&host, &store);
     look_after(&host, &store, file, signals).await;
-    host.note(
+    host.log_event(
         EventCode::ProcessStopped,
         json!({ "open_requests": host.open_requests() }),
     );
@@ -125,7 +125,7 @@
     match settings::from_file(file) {
         Ok(settings) => host.install_settings(settings),
         // What was in force stays so; the file is read again soon.
-        Err(fault) => host.note(
+        Err(fault) => host.log_event(
             EventCode::SettingsRejected,
             json!({ "code": fault.code().to_string(), "detail": fault.to_string() }),
         ),
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -250,7 +250,7 @@
             http::Response::new(Full::new(bytes))
         }
         Err(fault) => {
-            host.note_malformed("self", &fault);
+            host.log_malformed_message("self", &fault);
             plain(http::StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -173,6 +173,6 @@
             "fleet_revision": host.fleet.borrow().revision(),
             "expected_load": server.expected_load(now),
         });
-        host.note(EventCode::OfferFailed, fields);
+        host.log_event(EventCode::OfferFailed, fields);
     }
 }
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -228,7 +228,7 @@
         let named = requests.iter().take(REQUESTS_PER_DATAGRAM);
         let named: Vec<String> = named.map(ToString::to_string).collect();
         let fields = json!({ "server": server.id, "count": requests.len(), "requests": named });
-        self.note(EventCode::ServerEnded, fields);
+        self.log_event(EventCode::ServerEnded, fields);
         for part in requests.chunks(REQUESTS_PER_DATAGRAM) {
             let end = ServerEnd {
                 server: server.hash,
@@ -303,7 +303,7 @@
             "servers_ended": record.ended.len(),
             "source": source,
         });
-        self.note(event, fields);
+        self.log_event(event, fields);
     }
 
     fn tell_all(&self, records: &[SuspectRecord]) {
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -106,7 +106,7 @@
 
 fn note_unreadable<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject, reason: &str) {
     let fields = json!({ "object": object.name, "reason": reason });
-    host.note(EventCode::ObjectUnreadable, fields);
+    host.log_event(EventCode::ObjectUnreadable, fields);
 }
 
 impl<W: WireProtocol> EntryHost<W> {
@@ -172,5 +172,5 @@
 
 fn note_fault<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
     let fields = json!({ "fault": fault.to_string() });
-    host.note(EventCode::QuarantineNotStored, fields);
+    host.log_event(EventCode::QuarantineNotStored, fields);
 }
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -115,7 +115,7 @@
             "configuration_age_ms": host.configuration_age_ms(),
             "fleet_revision": host.fleet.borrow().revision(),
         });
-        host.note(EventCode::RequestFailed, fields);
+        host.log_event(EventCode::RequestFailed, fields);
         let mut response = http::Response::new(AnswerBody::whole(Bytes::new()));
         *response.status_mut() = failure.status;
         if let Ok(code) = http::HeaderValue::from_str(&failure.code().to_string()) {
--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -104,7 +104,7 @@
         for object in objects {
             if let ObjectContent::Unreadable(reason) = &object.content {
                 let fields = json!({ "object": object.name, "reason": reason });
-                self.note(EventCode::ObjectUnreadable, fields);
+                self.log_event(EventCode::ObjectUnreadable, fields);
             }
         }
     }
@@ -224,7 +224,7 @@
             "step": change.step,
             "state": change.state,
         });
-        self.note(EventCode::RolloutChanged, fields);
+        self.log_event(EventCode::RolloutChanged, fields);
     }
 
     /// Tells the own region, and those who pass it on in the others.
@@ -286,5 +286,5 @@
 fn note_not_recorded<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
     // The watch brings what another host has recorded.
     let fields = json!({ "fault": fault.to_string() });
-    host.note(EventCode::RolloutNotRecorded, fields);
+    host.log_event(EventCode::RolloutNotRecorded, fields);
 }
--- a/src/entry/send_gate.rs
+++ b/src/entry/send_gate.rs
@@ -95,5 +95,5 @@
         "hall": server.hall,
         "leaving_for_ms": leaving_since.map(|since| host.now().since(since)),
     });
-    host.note(EventCode::SentToLeaving, fields);
+    host.log_event(EventCode::SentToLeaving, fields);
 }
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -88,7 +88,7 @@
             "per_s": rate.map(RequestRate::per_s),
             "source": source,
         });
-        self.note(event, fields);
+        self.log_event(event, fields);
     }
 
     /// Finds the right to send one request to `server`. Where there is none, the next choices pass the server over
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -54,7 +54,7 @@
     /// The process was told to stop.
     pub(super) fn on_leaving(&self) {
         self.stop.leaving_since.set(Some(self.now()));
-        self.note(
+        self.log_event(
             EventCode::ProcessLeaving,
             json!({ "open_requests": self.open_requests() }),
         );
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -32,7 +32,7 @@
             return;
         }
         let fields = json!({ "era": era, "before": before, "source": source });
-        self.note(EventCode::StoreEraBegan, fields);
+        self.log_event(EventCode::StoreEraBegan, fields);
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
         fleet.on_store_return(ReturnSight::InTime, position, now);
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -137,7 +137,7 @@
         ObjectContent::Configuration(configuration) => {
             host.install_configuration(configuration, "store");
         }
-        ObjectContent::Unreadable(reason) => host.note(
+        ObjectContent::Unreadable(reason) => host.log_event(
             EventCode::ConfigRejected,
             json!({ "object": object.name, "reason": reason }),
         ),
--- a/src/entry/watch_role.rs
+++ b/src/entry/watch_role.rs
@@ -131,7 +131,7 @@
         let is_due = self.is_watcher();
         if self.watch.set_watching(is_due) {
             let fields = json!({ "watching": is_due });
-            self.note(EventCode::WatchRoleChanged, fields);
+            self.log_event(EventCode::WatchRoleChanged, fields);
         }
     }
 
