--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -194,7 +194,7 @@
     });
     let heard = peers.recent_statuses_all_regions("region-0", Moment(100));
     for beat in &mut beats {
-        beat.heard.clone_from(&heard);
+        beat.peer_statuses.clone_from(&heard);
     }
     let own = record(0);
     let heard_us = micros(200, |number| {
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -109,11 +109,11 @@
         .collect();
     drop(peers);
     add_hosts(host, &records);
-    let statuses: Vec<PeerStatus> = known.iter().filter_map(|known| known.heard).collect();
+    let statuses: Vec<PeerStatus> = known.iter().filter_map(|known| known.status).collect();
     let now = host.now();
     host.peers.borrow_mut().on_statuses(&statuses, now);
     let introduction = PeerHeartbeat {
-        heard: Vec::new(),
+        peer_statuses: Vec::new(),
         ..host.heartbeat(true)
     };
     let introduction = PeerMessage::Heartbeat(Box::new(introduction));
@@ -136,7 +136,7 @@
 }
 
 /// Handles the removal of a host's entry from the store. If the entry belongs to this run of this
-/// host, the others took it for dead while they did not see it, and it is written again.
+/// host, other hosts considered it dead after a silence, and it is written again.
 pub(super) fn on_host_gone<W: WireProtocol>(host: &EntryHost<W>, gone: &GoneHost) {
     if gone.name == host.settings().name {
         host.on_own_entry_gone(gone.run);
--- a/src/entry/peer_message.rs
+++ b/src/entry/peer_message.rs
@@ -84,7 +84,7 @@
     Quarantine(QuarantineMessage),
     /// Limits advertised by servers.
     ServerLimit(ServerLimitMessage),
-    /// Servers that have announced their shutdown, by hash of identity and start.
+    /// Servers that have announced their shutdown, by hash of the incarnation.
     Leaving(Vec<u64>),
     /// Counts of a host of this region since the start of a rollout.
     RolloutReport(RolloutReport),
@@ -130,7 +130,8 @@
     /// Number of known hosts in the sender's region, itself included.
     pub known_near: u32,
     /// Recent statuses of other hosts, seen directly or through gossip.
-    pub heard: Vec<PeerStatus>,
+    #[serde(rename = "heard")]
+    pub peer_statuses: Vec<PeerStatus>,
 }
 
 impl PeerHeartbeat {
@@ -141,7 +142,7 @@
     pub fn for_other_regions(&self) -> Self {
         let mut heartbeat = self.clone();
         if heartbeat.record.is_none() {
-            heartbeat.heard.clear();
+            heartbeat.peer_statuses.clear();
         }
         heartbeat
     }
@@ -222,7 +223,8 @@
     pub record: HostRecord,
     /// The host's status if it was seen recently, so that the recipient can report it further at
     /// once.
-    pub heard: Option<PeerStatus>,
+    #[serde(rename = "heard")]
+    pub status: Option<PeerStatus>,
 }
 
 /// The hosts that a host knows, or a part of them, since the whole list may exceed a datagram.
--- a/src/entry/peers/coordinators.rs
+++ b/src/entry/peers/coordinators.rs
@@ -24,9 +24,9 @@
 impl PeerTable {
     /// The host of `region` that coordinates the limits of a group or owns the limit of a server:
     /// the first by rendezvous hash of host and `key` among the largest hosts that may be alive.
-    /// All hosts that know the same peers select the same one. Each request of a customer with a
-    /// limit can cost the coordinator one message, and a host with a tenth of a core takes ten
-    /// times as long to answer it.
+    /// All hosts that know the same peers select the same one. Large hosts are selected
+    /// because each request of a customer with a limit costs the coordinator one message, and a
+    /// host with a tenth of a core takes ten times as long to answer it.
     #[must_use]
     pub fn coordinator_of(
         &self,
--- a/src/entry/peers/limit_owners.rs
+++ b/src/entry/peers/limit_owners.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitOwner {
     /// This host is the owner.
-    Local,
+    ThisHost,
     /// Another host is the owner, or is in the owner's region and forwards to it.
-    Remote {
+    Peer {
         /// Address for datagrams.
         address: net::SocketAddr,
         /// Whether that host is in this host's region.
@@ -26,7 +26,7 @@
 pub struct LimitOwnerQuery<'a> {
     /// The server's region.
     pub region: &'a str,
-    /// A hash of the server's identity and start.
+    /// Hash of the server's incarnation.
     pub server: u64,
     /// The host that searches.
     pub own: &'a HostRecord,
@@ -66,8 +66,8 @@
         let owner = self.coordinator_of(&query.own.region, query.server, own, |_| false, now);
         match owner {
             None => LimitOwner::Unknown,
-            Some(owner) if owner.name == query.own.name => LimitOwner::Local,
-            Some(owner) => LimitOwner::Remote {
+            Some(owner) if owner.name == query.own.name => LimitOwner::ThisHost,
+            Some(owner) => LimitOwner::Peer {
                 address: owner.address,
                 is_local: true,
             },
@@ -84,7 +84,7 @@
                 &peer.record.name,
             )
         });
-        last.map_or(LimitOwner::Unknown, |peer| LimitOwner::Remote {
+        last.map_or(LimitOwner::Unknown, |peer| LimitOwner::Peer {
             address: peer.record.heartbeat_address,
             is_local: false,
         })
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -136,8 +136,8 @@
 /// The other entry hosts.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    /// `FxHashMap` iterates in the same order in every process, so random choices with the same
-    /// seed give the same hosts.
+    /// After the same insertions, `FxHashMap` iterates in the same order in every process, so
+    /// random choices with the same seed give the same hosts.
     peers: rustc_hash::FxHashMap<String, PeerEntry>,
     /// Host names by the short hashes used in gossip.
     names_by_hash: collections::HashMap<u32, String>,
@@ -208,7 +208,7 @@
         if let Some(record) = &heartbeat.record {
             self.on_record(record, now);
         }
-        self.on_statuses(&heartbeat.heard, now);
+        self.on_statuses(&heartbeat.peer_statuses, now);
         let region = self
             .peers
             .get(&heartbeat.host)
--- a/src/entry/peers/reconcile.rs
+++ b/src/entry/peers/reconcile.rs
@@ -37,15 +37,15 @@
 /// Maximum number of records sent in addition to the requested ones; twelve datagrams.
 const MAX_EXTRA_RECORDS: usize = 120;
 
-/// Which hosts known to another host are missing here.
+/// Which hosts known to the sender of a heartbeat are missing here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MissingHosts {
     /// None, as far as the counts show.
     None,
-    /// Hosts of the other host's region, which that host knows well.
-    Local,
+    /// Hosts of the sender's region, which the sender knows well.
+    SenderRegion,
     /// Hosts of any region.
-    Any,
+    AnyRegion,
 }
 
 /// State of the requests for missing hosts.
@@ -97,7 +97,7 @@
             watch: heartbeat.watch,
         };
         let mut unknown = Vec::new();
-        for status in heartbeat.heard.iter().chain([&sender]) {
+        for status in heartbeat.peer_statuses.iter().chain([&sender]) {
             let is_due = status.name_hash != own_hash && !self.knows_run(status);
             if is_due && !self.reconcile.requested.contains_key(&status.name_hash) {
                 self.reconcile.requested.insert(status.name_hash, now);
@@ -114,15 +114,15 @@
     /// Which hosts are missing here, judged by the counts in a heartbeat.
     fn missing_hosts(&self, heartbeat: &PeerHeartbeat, own_region: &str) -> MissingHosts {
         let sender = self.peers.get(&heartbeat.host);
-        let local_count = sender.map_or(0, |sender| {
+        let known_in_region = sender.map_or(0, |sender| {
             let region = &sender.record.region;
             let own = u32::from(region == own_region);
             self.region_counts.get(region).copied().unwrap_or(0) + own
         });
-        if heartbeat.known_near > local_count {
-            MissingHosts::Local
+        if heartbeat.known_near > known_in_region {
+            MissingHosts::SenderRegion
         } else if heartbeat.known_hosts > self.known_count() {
-            MissingHosts::Any
+            MissingHosts::AnyRegion
         } else {
             MissingHosts::None
         }
@@ -137,9 +137,9 @@
         let is_local = self.is_host_in_region(&heartbeat.host, own_region);
         let interval_ms = match missing {
             MissingHosts::None => return false,
-            MissingHosts::Local => REQUEST_RETRY_MS,
-            MissingHosts::Any if is_local => REQUEST_RETRY_MS,
-            MissingHosts::Any => REMOTE_REQUEST_INTERVAL_MS,
+            MissingHosts::SenderRegion => REQUEST_RETRY_MS,
+            MissingHosts::AnyRegion if is_local => REQUEST_RETRY_MS,
+            MissingHosts::AnyRegion => REMOTE_REQUEST_INTERVAL_MS,
         };
         let Some(last_request) = self.reconcile.last_full_request else {
             return true;
@@ -196,7 +196,7 @@
         let own_hash = short_hash(&own.name);
         let own = request.unknown.contains(&own_hash).then(|| KnownHost {
             record: own.clone(),
-            heard: None,
+            status: None,
         });
         let names = request.unknown.iter();
         let names = names.filter_map(|hash| self.names_by_hash.get(hash));
@@ -204,7 +204,7 @@
         let known = requested.chain(self.extra_hosts(request, now));
         let known = known.map(|peer| KnownHost {
             record: peer.record.clone(),
-            heard: peer.status(MAX_REPORTED_AGE_MS, now),
+            status: peer.status(MAX_REPORTED_AGE_MS, now),
         });
         known.chain(own).collect()
     }
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -35,7 +35,7 @@
         let evacuations = self.evacuations.borrow();
         let region = &self.settings().region;
         let peers = self.peers.borrow();
-        let heard = peers.recent_statuses_all_regions(region, self.now());
+        let peer_statuses = peers.recent_statuses_all_regions(region, self.now());
         let known_hosts = peers.known_count();
         let known_near = peers.region_size(region);
         drop(peers);
@@ -56,7 +56,7 @@
             rollouts: self.rollouts.news(self.now()),
             known_hosts,
             known_near,
-            heard,
+            peer_statuses,
         }
     }
 
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -129,9 +129,9 @@
 
     async fn ask_for_send(&self, server: &FleetServer, word: LimitWord) -> Option<RightVerdict> {
         match self.keeper_of(server) {
-            LimitOwner::Local => Some(self.grant_send(server)),
+            LimitOwner::ThisHost => Some(self.grant_send(server)),
             LimitOwner::Unknown => None,
-            LimitOwner::Remote { address, is_local } => {
+            LimitOwner::Peer { address, is_local } => {
                 self.server_limits.on_other_keeper(server.start_hash);
                 self.ask_keeper(address, is_local, word).await
             }
@@ -249,8 +249,8 @@
             .as_ref()
             .map_or(LimitOwner::Unknown, |server| self.keeper_of(server));
         let verdict = match (place, &server) {
-            (LimitOwner::Local, Some(server)) => self.grant_send(server),
-            (LimitOwner::Remote { address, is_local }, _) => {
+            (LimitOwner::ThisHost, Some(server)) => self.grant_send(server),
+            (LimitOwner::Peer { address, is_local }, _) => {
                 self.server_limits.on_other_keeper(request.word.server);
                 if is_local && request.reply_to.is_none() {
                     self.pass_on_request(request, source, address);
--- a/tests/common/peer_records.rs
+++ b/tests/common/peer_records.rs
@@ -38,6 +38,6 @@
         server_limits: Vec::new(),
         known_hosts: 1,
         known_near: 1,
-        heard: Vec::new(),
+        peer_statuses: Vec::new(),
     }
 }
--- a/tests/entry_membership.rs
+++ b/tests/entry_membership.rs
@@ -100,7 +100,8 @@
                 self.tables[host].forget_silent(&region, self.now);
             }
             let mut heartbeat = peer_records::heartbeat(&self.records[host], WatchState::Idle);
-            heartbeat.heard = self.tables[host].recent_statuses_all_regions(&region, self.now);
+            heartbeat.peer_statuses =
+                self.tables[host].recent_statuses_all_regions(&region, self.now);
             heartbeat.known_hosts = self.tables[host].known_count();
             heartbeat.known_near = self.tables[host].region_size(&region);
             if !count.is_multiple_of(HEARTBEATS_PER_RECORD) {
@@ -166,7 +167,7 @@
                 self.introduce(host, record.heartbeat_address);
             }
         }
-        let statuses: Vec<_> = known.iter().filter_map(|known| known.heard).collect();
+        let statuses: Vec<_> = known.iter().filter_map(|known| known.status).collect();
         self.tables[host].on_statuses(&statuses, self.now);
     }
 
--- a/tests/entry_news.rs
+++ b/tests/entry_news.rs
@@ -19,7 +19,7 @@
     tables: BTreeMap<SocketAddr, PeerTable>,
 }
 
-/// The hosts that got the update, and the number of datagrams that hall_crossings between halls.
+/// The hosts that got the update, and the number of datagrams that crossed between halls.
 struct UpdateSpread {
     reached: BTreeSet<SocketAddr>,
     hall_crossings: usize,
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -108,7 +108,7 @@
         peers.on_record(&host(&format!("h-{number:02}"), "one", 200), Moment(0));
     }
     let beat = PeerHeartbeat {
-        heard: statuses.to_vec(),
+        peer_statuses: statuses.to_vec(),
         ..heartbeat(&host("h-00", "one", 200), WatchState::Idle)
     };
     peers.on_heartbeat(&beat, Moment(10_000));
@@ -175,7 +175,7 @@
         "{local} and {remote}"
     );
     let beat = PeerHeartbeat {
-        heard: peers.recent_statuses("one", Moment(0)),
+        peer_statuses: peers.recent_statuses("one", Moment(0)),
         ..heartbeat(&host("h-000", "one", 200), WatchState::Idle)
     };
     let bytes = |beat: PeerHeartbeat| {
@@ -246,7 +246,7 @@
         let table = &self.tables[number];
         let beat = PeerHeartbeat {
             record: None,
-            heard: table.recent_statuses("one", Moment(millis)),
+            peer_statuses: table.recent_statuses("one", Moment(millis)),
             ..heartbeat(&self.records[number], WatchState::Idle)
         };
         for target in table.local_targets("one", &mut self.random) {
