--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -190,17 +190,17 @@
         peers.on_heartbeat(beat, Moment(1));
     }
     let told_us = micros(200, |_| {
-        black_box(peers.heard_anywhere("region-0", Moment(100)));
+        black_box(peers.recent_statuses_all_regions("region-0", Moment(100)));
     });
-    let heard = peers.heard_anywhere("region-0", Moment(100));
+    let heard = peers.recent_statuses_all_regions("region-0", Moment(100));
     for beat in &mut beats {
-        beat.heard.clone_from(&heard);
+        beat.peer_statuses.clone_from(&heard);
     }
     let own = record(0);
     let heard_us = micros(200, |number| {
         let beat = &beats[number as usize % beats.len()];
         peers.on_heartbeat(beat, Moment(200 + number));
-        black_box(peers.unknown_hosts(beat, &own, Moment(200 + number)));
+        black_box(peers.missing_hosts_request(beat, &own, Moment(200 + number)));
     });
     println!("| {count} | {bytes} | {told_us:.1} | {heard_us:.1} |");
 }
--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -123,7 +123,7 @@
         let now = self.now();
         if server.change_notice(|notice| notice.on_leaving(now)) {
             let fields = json!({ "server": server.id, "hall": server.hall, "source": source });
-            self.note(EventCode::ServerSaysLeaving, fields);
+            self.log_event(EventCode::ServerSaysLeaving, fields);
         }
     }
 
@@ -142,7 +142,7 @@
                 "hall": server.hall,
                 "rest_ms": backoff.as_millis() as u64,
             });
-            self.note(EventCode::ServerRests, fields);
+            self.log_event(EventCode::ServerRests, fields);
         }
     }
 
@@ -151,7 +151,7 @@
         self.metrics.borrow_mut().words_unreadable += 1;
         if server.change_notice(ServerNotice::on_unreadable) {
             let fields = json!({ "server": server.id, "hall": server.hall, "word": name });
-            self.note(EventCode::ServerWordUnreadable, fields);
+            self.log_event(EventCode::ServerWordUnreadable, fields);
         }
     }
 }
--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -12,7 +12,7 @@
 use super::host::EntryHost;
 use super::host_gossip;
 use super::lapse_hold::{MissingSource, ToldHolds};
-use super::peer_message::{self, FleetNews, JoinAnswer, PeerHeartbeat, PeerSnapshot};
+use super::peer_message::{self, FleetUpdate, JoinAnswer, PeerHeartbeat, PeerSnapshot};
 use super::quarantine::message::SuspectRecord;
 use super::store::StoredObject;
 use super::wire::WireProtocol;
@@ -199,9 +199,9 @@
         return fetch_snapshot(host, source).await;
     }
     let path = format!("{CHANGES_PATH}{revision}");
-    match fetch::<W, Option<FleetNews>>(host, source, &path).await {
+    match fetch::<W, Option<FleetUpdate>>(host, source, &path).await {
         Some(Some(news)) => {
-            gossip::on_fleet_news(host, &news);
+            gossip::on_fleet_update(host, &news);
             FetchEnd::Answered
         }
         Some(None) => fetch_snapshot(host, source).await,
@@ -231,7 +231,7 @@
         let before = host.configuration_version();
         host.install_configuration(configuration, &source.to_string());
         if host.configuration_version() > before {
-            gossip::pass_on_configuration(host);
+            gossip::forward_configuration_announcement(host);
         }
     }
     FetchEnd::of(fetched.as_ref())
@@ -257,7 +257,7 @@
         .ok()?;
     let answer = http_client::exchange(source, request, FETCH_LIMIT, MAX_ANSWER_BYTES).await;
     let Ok(answer) = answer else {
-        host.note(
+        host.log_event(
             EventCode::PeerSilent,
             json!({ "peer": source.to_string(), "path": path }),
         );
@@ -266,7 +266,7 @@
     match peer_message::from_bytes(&answer.body) {
         Ok(value) => Some(value),
         Err(fault) => {
-            host.note_malformed(&source.to_string(), &fault);
+            host.log_malformed_message(&source.to_string(), &fault);
             None
         }
     }
@@ -278,13 +278,13 @@
     source: net::SocketAddr,
 ) {
     let source = source.to_string();
-    host_gossip::learn_hosts(host, &snapshot.hosts);
+    host_gossip::add_hosts(host, &snapshot.hosts);
     let now = host.now();
     let mut peers = host.peers.borrow_mut();
-    peers.on_told_sizes(&snapshot.region_sizes, now);
+    peers.on_reported_sizes(&snapshot.region_sizes, now);
     drop(peers);
     if snapshot.hosts_listed {
-        host.peers.borrow_mut().on_listed();
+        host.peers.borrow_mut().on_membership_complete();
     }
     if let Some(configuration) = &snapshot.configuration {
         host.install_configuration(configuration, &source);
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -1,7 +1,8 @@
-//! The datagrams between entry hosts: heartbeats, and the news of those that watch the store.
+//! Sends and receives the datagrams between entry hosts: heartbeats and updates.
 //!
-//! Only a few hosts of each region watch the store; they pass on what they see. Each heartbeat
-//! tells how current its host is, so that one that missed a datagram finds out and catches up.
+//! Only a few hosts of each region watch the store; they forward the changes as updates. Each
+//! heartbeat carries the versions of its sender's state, so that a host that missed an update
+//! notices it and catches up.
 
 use std::{cell, net, rc, time};
 
@@ -11,36 +12,37 @@
 use super::fleet_change::ChangeSpan;
 use super::host::EntryHost;
 use super::lapse_hold::{MissingSource, ToldHolds};
-use super::partial_news::PartialNewsList;
-use super::peer_message::{self, FleetNews, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
+use super::partial_updates::PartialUpdates;
+use super::peer_message::{self, FleetUpdate, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
 use super::peers::PeerChange;
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use super::wire::WireProtocol;
 use super::{
-    catch_up, host_gossip, join_asking, limit_role, news_part, quarantine_role, server_limit_role,
+    catch_up, host_gossip, join_asking, limit_role, quarantine_role, server_limit_role,
+    update_fragment,
 };
 use crate::error::{self, Error};
 use crate::event::EventCode;
 use crate::result_code::ResultCode;
 use crate::timer::Moment;
 
-/// The time between two heartbeats: four of them fit into the time after which a silent host is
-/// not named to callers any more.
-const HEARTBEAT: time::Duration = time::Duration::from_millis(500);
-/// Every so many heartbeats carry the host's whole record.
-const RECORD_EVERY: u64 = 4;
+/// Interval between heartbeats. Four of them fit in the timeout after which a host is no longer
+/// advertised to callers.
+const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Every n-th heartbeat carries the host's whole record.
+const HEARTBEATS_PER_RECORD: u64 = 4;
 
-/// What a host that knows no other tells as the number of hosts that it knows.
-const KNOWS_ITSELF: u32 = 1;
+/// The `known_hosts` count of a host that knows no other host.
+const ONLY_SELF_KNOWN: u32 = 1;
 
-/// The socket for datagrams, and news of which some parts are still missing.
+/// The UDP socket, and the fleet updates of which some fragments are still missing.
 #[derive(Debug, Default)]
 pub struct PeerSocket {
     socket: cell::OnceCell<rc::Rc<UdpSocket>>,
-    partial: cell::RefCell<PartialNewsList>,
+    partial_updates: cell::RefCell<PartialUpdates>,
 }
 
-/// Starts the tasks that speak to other hosts.
+/// Starts the tasks that communicate with other hosts.
 ///
 /// # Errors
 /// `AddressInvalid` when the heartbeat port cannot be bound.
@@ -52,7 +54,7 @@
     let socket = rc::Rc::new(socket);
     let _first = host.socket.socket.set(rc::Rc::clone(&socket));
     tokio::task::spawn_local(receive(rc::Rc::clone(host), socket));
-    tokio::task::spawn_local(beat(rc::Rc::clone(host)));
+    tokio::task::spawn_local(send_heartbeats(rc::Rc::clone(host)));
     Ok(())
 }
 
@@ -62,23 +64,23 @@
     UdpSocket::from_std(socket)
 }
 
-/// Tells the hosts of this region, and a few others, the present state at once.
+/// Sends a heartbeat with the current state to all hosts of this region and a few others.
 pub fn announce<W: WireProtocol>(host: &EntryHost<W>) {
     let message = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
     let targets = {
         let mut random = host.random.borrow_mut();
         let region = &host.settings().region;
-        host.peers.borrow().all_near(region, &mut random)
+        host.peers.borrow().broadcast_targets(region, &mut random)
     };
     send(host, &message, &targets);
 }
 
-/// Tells some hosts of this region that there is a new configuration.
+/// Announces a new configuration to some hosts of this region.
 pub fn announce_configuration<W: WireProtocol>(host: &EntryHost<W>) {
     let targets = {
         let mut random = host.random.borrow_mut();
         let region = &host.settings().region;
-        host.peers.borrow().some_near(region, &mut random)
+        host.peers.borrow().announce_targets(region, &mut random)
     };
     send(
         host,
@@ -87,46 +89,52 @@
     );
 }
 
-/// Passes the word of a fetched configuration on, where those who announced it told only some.
-pub fn pass_on_configuration<W: WireProtocol>(host: &EntryHost<W>) {
-    let must_pass_on = host.peers.borrow().must_pass_on(&host.settings().region);
-    if must_pass_on {
+/// Announces a fetched configuration further if the region is too large for the first announcement.
+pub fn forward_configuration_announcement<W: WireProtocol>(host: &EntryHost<W>) {
+    let must_forward_announcement = host
+        .peers
+        .borrow()
+        .must_forward_announcement(&host.settings().region);
+    if must_forward_announcement {
         announce_configuration(host);
     }
 }
 
-/// Passes on changes of servers that were seen in the store.
-pub fn pass_on_fleet<W: WireProtocol>(
+/// Sends server changes that this host observed in the store.
+pub fn send_fleet_update<W: WireProtocol>(
     host: &EntryHost<W>,
     since: u64,
     until: u64,
     changes: &[ObjectChange],
 ) {
-    let parts = news_part::parts_of(changes);
+    let fragments = update_fragment::split_changes(changes);
     let now = host.now();
-    let targets = host.peers.borrow().fleet_news_targets(&host.record(), now);
-    let count = u32::try_from(parts.len()).unwrap_or(u32::MAX);
-    for (number, part) in (0..).zip(parts) {
-        let news = FleetNews {
+    let targets = host
+        .peers
+        .borrow()
+        .fleet_update_targets(&host.record(), now);
+    let count = u32::try_from(fragments.len()).unwrap_or(u32::MAX);
+    for (number, fragment) in (0..).zip(fragments) {
+        let update = FleetUpdate {
             host: host.settings().name.clone(),
             since,
             until,
             part: number,
             parts: count,
-            changed: part.changed,
-            gone: gone_servers(host, part.gone, now),
+            changed: fragment.changed,
+            gone: gone_servers(host, fragment.gone, now),
             relay: false,
         };
-        let relayed = FleetNews {
+        let relayed = FleetUpdate {
             relay: true,
-            ..news.clone()
+            ..update.clone()
         };
-        send(host, &PeerMessage::Fleet(news), &targets.direct);
+        send(host, &PeerMessage::Fleet(update), &targets.direct);
         send(host, &PeerMessage::Fleet(relayed), &targets.relays);
     }
 }
 
-/// Servers that are gone, with how much longer this host keeps them.
+/// Converts IDs of gone servers to messages with the rest of each server's retention.
 fn gone_servers<W: WireProtocol>(
     host: &EntryHost<W>,
     ids: Vec<String>,
@@ -140,8 +148,10 @@
     gone.collect()
 }
 
-pub(super) fn news_targets<W: WireProtocol>(host: &EntryHost<W>) -> Vec<net::SocketAddr> {
-    host.peers.borrow().news_targets(&host.record(), host.now())
+pub(super) fn host_update_targets<W: WireProtocol>(host: &EntryHost<W>) -> Vec<net::SocketAddr> {
+    host.peers
+        .borrow()
+        .host_update_targets(&host.record(), host.now())
 }
 
 pub(super) fn send<W: WireProtocol>(
@@ -156,16 +166,17 @@
         Ok(bytes) => {
             host.metrics.borrow_mut().peer_bytes_sent += (bytes.len() * targets.len()) as u64;
             for target in targets {
-                // A lost datagram is made good by the next heartbeat.
+                // The next heartbeat makes up for a lost datagram.
                 let _sent = socket.try_send_to(&bytes, *target);
             }
         }
-        Err(fault) => host.note_malformed("self", &fault),
+        Err(fault) => host.log_malformed_message("self", &fault),
     }
 }
 
-/// Tells all hosts of this region, and some of each other one, that this host can serve, when it is one
-/// of the first after a start: those that wait then ask it. The seeds may start last.
+/// Announces that this host can serve, if it is one of the first after a start: hosts that wait for
+/// state then ask it. Seeds may start later than other hosts. Goes to all hosts of this region and
+/// some of each other region.
 pub(super) fn announce_start<W: WireProtocol>(host: &EntryHost<W>) {
     let has_read = host.peers.borrow().has_read_entries();
     let is_due = host.is_ready() && host.is_starting() && has_read;
@@ -181,42 +192,48 @@
     host.join.on_met(host.record());
 }
 
-/// Tells some hosts at once of this one, which can serve now: by them look-ups learn of it.
+/// Sends a heartbeat with this host's record at once, so that lookups soon return this host, which
+/// can serve now.
 pub(super) fn introduce<W: WireProtocol>(host: &EntryHost<W>) {
-    beat_once(host, true);
+    send_heartbeat(host, true);
 }
 
-async fn beat<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
-    let mut beats = tokio::time::interval(HEARTBEAT);
-    beats.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+async fn send_heartbeats<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
+    let mut interval = tokio::time::interval(HEARTBEAT_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut count = 0_u64;
     loop {
-        beats.tick().await;
-        beat_once(&host, count.is_multiple_of(RECORD_EVERY));
+        interval.tick().await;
+        send_heartbeat(&host, count.is_multiple_of(HEARTBEATS_PER_RECORD));
         count += 1;
     }
 }
 
-fn beat_once<W: WireProtocol>(host: &EntryHost<W>, whole: bool) {
-    let heartbeat = host.heartbeat(whole);
-    if heartbeat.known_hosts == KNOWS_ITSELF {
-        greet_seeds(host);
+fn send_heartbeat<W: WireProtocol>(host: &EntryHost<W>, with_record: bool) {
+    let heartbeat = host.heartbeat(with_record);
+    if heartbeat.known_hosts == ONLY_SELF_KNOWN {
+        introduce_to_seeds(host);
         return;
     }
     let region = host.settings().region.clone();
-    let (near, far) = {
+    let (local, remote) = {
         let mut random = host.random.borrow_mut();
         let peers = host.peers.borrow();
-        let near = peers.near_targets(&region, &mut random);
-        (near, peers.far_targets(&region, &mut random))
+        let local = peers.local_targets(&region, &mut random);
+        (local, peers.remote_targets(&region, &mut random))
     };
-    let far_heartbeat = heartbeat.for_other_regions();
-    send(host, &PeerMessage::Heartbeat(Box::new(heartbeat)), &near);
-    send(host, &PeerMessage::Heartbeat(Box::new(far_heartbeat)), &far);
+    let remote_heartbeat = heartbeat.for_other_regions();
+    send(host, &PeerMessage::Heartbeat(Box::new(heartbeat)), &local);
+    send(
+        host,
+        &PeerMessage::Heartbeat(Box::new(remote_heartbeat)),
+        &remote,
+    );
 }
 
-/// Tells the seeds of this host, which knows no other. It may have been served by the store before it asked any.
-fn greet_seeds<W: WireProtocol>(host: &EntryHost<W>) {
+/// Sends a heartbeat to the seeds while this host knows no other host. The store may have answered
+/// before this host asked any seed.
+fn introduce_to_seeds<W: WireProtocol>(host: &EntryHost<W>) {
     let settings = host.settings();
     let seeds = settings.other_seeds();
     let targets: Vec<net::SocketAddr> = seeds
@@ -227,21 +244,21 @@
 }
 
 async fn receive<W: WireProtocol>(host: rc::Rc<EntryHost<W>>, socket: rc::Rc<UdpSocket>) {
-    let mut buffer = vec![0_u8; 2 * news_part::MAX_DATAGRAM_BYTES];
+    let mut buffer = vec![0_u8; 2 * update_fragment::MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             continue;
         };
         match peer_message::from_bytes::<PeerMessage>(&buffer[..length]) {
             Ok(PeerMessage::Heartbeat(heartbeat)) => on_heartbeat(&host, &heartbeat, source),
-            Ok(PeerMessage::Fleet(news)) => {
-                on_fleet_news(&host, &news);
-                relay_fleet_news(&host, news, source);
+            Ok(PeerMessage::Fleet(update)) => {
+                on_fleet_update(&host, &update);
+                relay_fleet_update(&host, update, source);
             }
-            Ok(PeerMessage::Hosts(news)) => host_gossip::on_host_news(&host, &news),
-            Ok(PeerMessage::WhoIs(request)) => host_gossip::tell_who(&host, &request, source),
-            Ok(PeerMessage::Who(records)) => host_gossip::on_who(&host, &records),
+            Ok(PeerMessage::Hosts(update)) => host_gossip::on_host_update(&host, &update),
+            Ok(PeerMessage::WhoIs(request)) => host_gossip::answer_who_is(&host, &request, source),
+            Ok(PeerMessage::Who(records)) => host_gossip::on_requested_hosts(&host, &records),
             Ok(PeerMessage::Limit(message)) => limit_role::on_message(&host, message, source),
             Ok(PeerMessage::Quarantine(message)) => quarantine_role::on_message(&host, &message),
             Ok(PeerMessage::ServerLimit(message)) => {
@@ -254,7 +271,7 @@
             Ok(PeerMessage::RegionRollout(report)) => {
                 host.rollouts.on_region_report(report, host.now());
             }
-            Err(fault) => host.note_malformed(&source.to_string(), &fault),
+            Err(fault) => host.log_malformed_message(&source.to_string(), &fault),
         }
     }
 }
@@ -266,12 +283,12 @@
 ) {
     let now = host.now();
     let change = host.peers.borrow_mut().on_heartbeat(heartbeat, now);
-    let is_met = host.peers.borrow().run_of(&heartbeat.host) > 0;
-    if heartbeat.known_hosts == KNOWS_ITSELF && is_met {
-        let greeting = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
-        send(host, &greeting, &[source]);
+    let is_known = host.peers.borrow().run_of(&heartbeat.host) > 0;
+    if heartbeat.known_hosts == ONLY_SELF_KNOWN && is_known {
+        let introduction = PeerMessage::Heartbeat(Box::new(host.heartbeat(true)));
+        send(host, &introduction, &[source]);
     }
-    host_gossip::ask_who(host, heartbeat, source);
+    host_gossip::request_missing_hosts(host, heartbeat, source);
     let position = heartbeat.fleet_changed.max(heartbeat.evacuation_changed);
     host.on_store_position(position, &heartbeat.host);
     let is_same = heartbeat.configuration_version == host.configuration_version();
@@ -279,12 +296,12 @@
         host.on_configuration_confirmed(now);
     }
     let event = match change {
-        PeerChange::Heard => Some(EventCode::MemberJoined),
+        PeerChange::Appeared => Some(EventCode::MemberJoined),
         PeerChange::Leaving => Some(EventCode::MemberLeaving),
         PeerChange::None => None,
     };
     if let Some(event) = event {
-        host.note(
+        host.log_event(
             event,
             json!({ "peer": heartbeat.host, "run": heartbeat.run }),
         );
@@ -302,48 +319,49 @@
     catch_up::on_heartbeat(host, heartbeat);
 }
 
-/// Passes news of servers on to the own hall, if a watcher of another hall asks for it.
-fn relay_fleet_news<W: WireProtocol>(
+/// Relays a fleet update to the other hosts of this hall if a watcher of another hall requests it.
+fn relay_fleet_update<W: WireProtocol>(
     host: &EntryHost<W>,
-    news: FleetNews,
+    update: FleetUpdate,
     source: net::SocketAddr,
 ) {
-    if !news.relay {
+    if !update.relay {
         return;
     }
     let mut targets = host.peers.borrow().hall_targets(&host.record());
     targets.retain(|target| *target != source);
-    let news = FleetNews {
+    let update = FleetUpdate {
         relay: false,
-        ..news
+        ..update
     };
-    send(host, &PeerMessage::Fleet(news), &targets);
+    send(host, &PeerMessage::Fleet(update), &targets);
 }
 
-pub(super) fn on_fleet_news<W: WireProtocol>(host: &EntryHost<W>, news: &FleetNews) {
-    let told = ToldHolds::from_gone(&news.gone, host.now());
-    let whole = host.socket.partial.borrow_mut().on_part(news);
+pub(super) fn on_fleet_update<W: WireProtocol>(host: &EntryHost<W>, update: &FleetUpdate) {
+    let holds = ToldHolds::from_gone(&update.gone, host.now());
+    let is_complete = host.socket.partial_updates.borrow_mut().on_fragment(update);
     let fleet = host.fleet.borrow();
-    let contiguous = whole && fleet.is_listed() && news.since <= fleet.revision();
+    let contiguous = is_complete && fleet.is_listed() && update.since <= fleet.revision();
     drop(fleet);
     let span = ChangeSpan {
-        until: news.until,
+        until: update.until,
         contiguous,
     };
-    let missing = MissingSource::Peer(&told);
-    host.on_server_changes(&changes_of(news), span, missing, &news.host);
+    let missing = MissingSource::Peer(&holds);
+    host.on_server_changes(&changes_of(update), span, missing, &update.host);
 }
 
-fn changes_of(news: &FleetNews) -> Vec<ObjectChange> {
-    let changed = news.changed.iter().map(|object| ObjectChange {
+fn changes_of(update: &FleetUpdate) -> Vec<ObjectChange> {
+    let changed = update.changed.iter().map(|object| ObjectChange {
         object: StoredObject::from(object.clone()),
         deleted: false,
     });
-    let gone = news.gone.iter().map(|server| ObjectChange {
+    let gone = update.gone.iter().map(|server| ObjectChange {
         object: StoredObject {
             name: server.id.clone(),
-            // Its end lies somewhere up to here; who has seen it later than that knows better.
-            revision: news.until,
+            // The server ended at this revision or before; an observation at a later revision takes
+            // precedence.
+            revision: update.until,
             content: ObjectContent::Unreadable(String::new()),
         },
         deleted: true,
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -1,8 +1,9 @@
-//! The state of one entry host, shared by the tasks of its one thread.
+//! The state of one entry host, shared by the tasks of its single thread.
 //!
-//! What a host does with one part of its state stands with that part: [`super::evacuation`],
-//! [`super::route_times`], [`super::region_shares`], [`super::host_fleet`], [`super::host_budget`], [`super::stop`], [`super::watch_role`] and
-//! [`super::self_report`]; [`super::lifecycle`] runs it.
+//! Methods that concern one part of the state are in the module of that part:
+//! [`super::evacuation`], [`super::route_times`], [`super::region_shares`], [`super::host_fleet`],
+//! [`super::host_budget`], [`super::stop`], [`super::watch_role`] and [`super::self_report`].
+//! [`super::lifecycle`] starts and stops the host.
 
 use std::{cell, collections, rc};
 
@@ -40,14 +41,15 @@
 use crate::event::EventCode;
 use crate::timer::{self, BootClock, Moment};
 
-/// Between two looks at what is due, which come ten times a second, lies no more than this on a host that runs,
-/// in milliseconds; else it was suspended or frozen, or its processor was taken away.
-const STOOD_STILL_MS: u64 = 1_000;
+/// Minimum time between two ticks that is logged as a stall of the process, in milliseconds. Ticks
+/// are 100 ms apart on a running host; a longer gap means that the host was suspended or frozen, or
+/// got no processor time.
+const MIN_STALL_MS: u64 = 1_000;
 
 /// The state of one entry host.
 #[derive(Debug)]
 pub struct EntryHost<W> {
-    /// How the platform writes things.
+    /// The platform's wire format.
     pub wire: W,
     /// Structured log.
     pub log: DecisionLog,
@@ -55,31 +57,32 @@
     pub metrics: cell::RefCell<EntryMetrics>,
     /// Known servers.
     pub fleet: cell::RefCell<Fleet>,
-    /// Kept connections to servers.
+    /// Idle connections to servers.
     pub pool: cell::RefCell<ServerPool>,
-    /// How far the regions are.
+    /// Distances between regions.
     pub distances: cell::RefCell<RegionDistances>,
-    /// Other hosts.
+    /// Other entry hosts.
     pub peers: cell::RefCell<PeerTable>,
-    /// The way to them.
+    /// Socket for datagrams to other hosts.
     pub socket: PeerSocket,
-    /// What is being fetched from other hosts.
+    /// Fetches from other hosts that are in progress.
     pub fetches: OpenFetches,
-    /// How this host joined the others, and helps those who join.
+    /// State of this host's own join and of the joins it helps with.
     pub join: JoinState,
-    /// How this host stands to the store.
+    /// Whether this host watches the store.
     pub watch: WatchRole,
-    /// The store's count at which this host's own entry stands, once it is written.
-    pub(super) own_entry: cell::Cell<Option<u64>>,
+    /// Store revision of this host's own entry, once it is written.
+    pub(super) own_entry_revision: cell::Cell<Option<u64>>,
     /// Source of random choices.
     pub random: cell::RefCell<SmallRng>,
     settings: cell::RefCell<rc::Rc<EntrySettings>>,
     clock: BootClock,
-    /// When what is due was last looked at.
+    /// Time of the last tick.
     last_tick: cell::Cell<Moment>,
     pub(super) run: u64,
     routes: cell::RefCell<Option<rc::Rc<RouteTable>>>,
-    /// When the store, or a host that watches it, last had the same configuration as this one.
+    /// When this host last knew that the store, or a host that watches it, has the same
+    /// configuration.
     configuration_confirmed: cell::Cell<Option<Moment>>,
     pub(super) evacuations: cell::RefCell<EvacuationList>,
     pub(super) retry_windows: cell::RefCell<collections::HashMap<String, RetryWindow>>,
@@ -91,12 +94,12 @@
     pub(super) server_limits: ServerLimitRole,
     pub(super) leaving_updates: LeavingUpdates,
     pub(super) rollouts: RolloutRole,
-    /// The store's era, as this host or another has seen it.
-    pub(super) store_era: cell::Cell<u64>,
+    /// The store's epoch, as observed by this host or reported by another.
+    pub(super) store_epoch: cell::Cell<u64>,
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// A host that knows nothing yet.
+    /// Creates a host without any knowledge of servers, peers or configuration.
     #[must_use]
     pub fn new(settings: EntrySettings, wire: W, log: DecisionLog) -> Self {
         let run = timer::unix_millis();
@@ -120,7 +123,7 @@
             fetches: OpenFetches::default(),
             join: JoinState::default(),
             watch: WatchRole::default(),
-            own_entry: cell::Cell::new(None),
+            own_entry_revision: cell::Cell::new(None),
             random: cell::RefCell::new(SmallRng::seed_from_u64(seed)),
             settings: cell::RefCell::new(rc::Rc::new(settings)),
             clock: BootClock::start(),
@@ -138,29 +141,29 @@
             server_limits: ServerLimitRole::default(),
             leaving_updates: LeavingUpdates::default(),
             rollouts: RolloutRole::default(),
-            store_era: cell::Cell::new(0),
+            store_epoch: cell::Cell::new(0),
         }
     }
 
-    /// The present moment.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// The settings in force.
+    /// The active settings.
     #[must_use]
     pub fn settings(&self) -> rc::Rc<EntrySettings> {
         rc::Rc::clone(&self.settings.borrow())
     }
 
-    /// The routes in force.
+    /// The active routes.
     #[must_use]
     pub fn routes(&self) -> Option<rc::Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the active configuration; 0 for none.
     #[must_use]
     pub fn configuration_version(&self) -> u64 {
         let routes = self.routes.borrow();
@@ -169,20 +172,21 @@
             .map_or(0, |routes| routes.configuration().version)
     }
 
-    /// Whoever sees the store had the same configuration as this host at `at`.
+    /// Records that the store, or a host that watches it, had the same configuration as this host
+    /// at `at`.
     pub(super) fn on_configuration_confirmed(&self, at: Moment) {
         self.configuration_confirmed.set(Some(at));
     }
 
-    /// How old this host's view of the configuration is, in milliseconds: since then a newer one may be in force
-    /// elsewhere. `None` before it has any.
+    /// Age of this host's view of the configuration, in milliseconds. A newer configuration may
+    /// have become active elsewhere within that time. `None` before the first confirmation.
     #[must_use]
     pub fn configuration_age_ms(&self) -> Option<u64> {
         let confirmed = self.configuration_confirmed.get();
         confirmed.map(|confirmed| self.now().since(confirmed))
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Activates a configuration unless the active one is at least as new.
     pub fn install_configuration(&self, configuration: &ServiceConfiguration, source: &str) {
         if configuration.version <= self.configuration_version() {
             return;
@@ -194,53 +198,53 @@
             "source": source,
         });
         let table = RouteTable::from_configuration(configuration.clone());
-        self.note_faults(configuration);
-        self.note_customer_faults(&table);
+        self.log_configuration_faults(configuration);
+        self.log_customer_faults(&table);
         *self.routes.borrow_mut() = Some(rc::Rc::new(table));
-        self.note(EventCode::ConfigInstalled, fields);
+        self.log_event(EventCode::ConfigInstalled, fields);
         self.limits.on_configured();
         self.on_learned(source);
     }
 
-    fn note_faults(&self, configuration: &ServiceConfiguration) {
+    fn log_configuration_faults(&self, configuration: &ServiceConfiguration) {
         for fault in &configuration.faults {
             let fields = json!({
                 "version": configuration.version,
                 "fault": fault.to_string(),
             });
-            self.note(EventCode::ConfigPartUnread, fields);
+            self.log_event(EventCode::ConfigPartUnread, fields);
         }
     }
 
-    fn note_customer_faults(&self, table: &RouteTable) {
+    fn log_customer_faults(&self, table: &RouteTable) {
         let faults = table.customers().map_or(&[][..], CustomerTable::faults);
         for fault in faults {
             let fields = json!({
                 "version": table.configuration().version,
                 "fault": fault.to_string(),
             });
-            self.note(EventCode::CustomerUnfit, fields);
+            self.log_event(EventCode::CustomerUnfit, fields);
         }
     }
 
-    /// Writes an important log line.
-    pub fn note(&self, event: EventCode, fields: serde_json::Value) {
+    /// Writes a log line of high importance.
+    pub fn log_event(&self, event: EventCode, fields: serde_json::Value) {
         self.log.write(event, LogPriority::Important, fields);
     }
 
-    /// Whether callers may be sent here.
+    /// Whether this host can serve callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.routes.borrow().is_some() && self.fleet.borrow().is_listed()
     }
 
-    /// Writes that what another host said could not be understood.
-    pub fn note_malformed(&self, source: &str, fault: &PeerFormatError) {
+    /// Logs that a message of another host could not be decoded.
+    pub fn log_malformed_message(&self, source: &str, fault: &PeerFormatError) {
         let fields = json!({ "source": source, "fault": fault.to_string() });
-        self.note(EventCode::HeartbeatMalformed, fields);
+        self.log_event(EventCode::HeartbeatMalformed, fields);
     }
 
-    /// The metrics page.
+    /// Renders the metrics page.
     #[must_use]
     pub fn metrics_page(&self) -> String {
         let loss = self.log.loss();
@@ -254,7 +258,7 @@
             limit_hosts: self.limits.hosts(),
             suspects: self.quarantine.digest().count,
             barred_requests: self.quarantine.blocked_count(),
-            store_era: self.store_era.get(),
+            store_era: self.store_epoch.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
             resting_servers: self.count_servers(|server| server.notice().is_in_backoff(now)),
@@ -271,10 +275,10 @@
         fleet.servers().filter(|server| is_counted(server)).count()
     }
 
-    /// Looks after what is due with time.
+    /// Runs the periodic tasks.
     pub(super) fn on_tick(&self) {
         let now = self.now();
-        self.note_standstill(now);
+        self.log_stall(now);
         self.look_at_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
         self.note_fleet(&changes, "timer");
@@ -292,17 +296,17 @@
         self.log.flush();
     }
 
-    fn note_standstill(&self, now: Moment) {
-        let stood_ms = now.since(self.last_tick.replace(now));
-        if stood_ms >= STOOD_STILL_MS {
-            self.note(
+    fn log_stall(&self, now: Moment) {
+        let stall_ms = now.since(self.last_tick.replace(now));
+        if stall_ms >= MIN_STALL_MS {
+            self.log_event(
                 EventCode::ProcessStoodStill,
-                json!({ "stood_ms": stood_ms }),
+                json!({ "stood_ms": stall_ms }),
             );
         }
     }
 
-    /// Puts changed settings in force.
+    /// Activates changed settings.
     pub(super) fn install_settings(&self, settings: EntrySettings) {
         if *self.settings.borrow().as_ref() == settings {
             return;
@@ -310,6 +314,6 @@
         let leave_ms = settings.bounds.leave_ms();
         self.fleet.borrow_mut().set_leave_ms(leave_ms);
         *self.settings.borrow_mut() = rc::Rc::new(settings);
-        self.note(EventCode::SettingsReloaded, json!({}));
+        self.log_event(EventCode::SettingsReloaded, json!({}));
     }
 }
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -44,9 +44,9 @@
     let mut was_keeper = false;
     while !host.is_leaving() {
         tokio::time::sleep(OWN_ENTRY_CHECK).await;
-        let keeps = host.keeps_entry();
+        let keeps = host.should_register();
         // Twice in a row: another may only have missed a heartbeat.
-        let is_due = keeps && was_keeper && host.own_entry.get().is_none();
+        let is_due = keeps && was_keeper && host.own_entry_revision.get().is_none();
         was_keeper = keeps;
         if is_due && write_until_done(&host, &*store).await.is_none() {
             return;
@@ -63,13 +63,13 @@
     while !host.is_leaving() {
         match follow::within_limit(write_own(&host.record(), store)).await {
             Ok(OwnEntry::Written(revision)) => {
-                host.own_entry.set(Some(revision));
+                host.own_entry_revision.set(Some(revision));
                 return Some(());
             }
             Ok(OwnEntry::LaterRun) => return None,
             Err(fault) => {
                 let fields = json!({ "fault": fault.to_string() });
-                host.note(EventCode::EntryNotWritten, fields);
+                host.log_event(EventCode::EntryNotWritten, fields);
             }
         }
         follow::pause_up_to(host, pause_ms).await;
@@ -79,34 +79,34 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    fn keeps_entry(&self) -> bool {
+    fn should_register(&self) -> bool {
         let now = self.now();
-        now.0 >= SETTLE_MS && self.peers.borrow().keeps_entry(&self.record(), now)
+        now.0 >= SETTLE_MS && self.peers.borrow().should_register(&self.record(), now)
     }
 
     /// Whether this host has probably met all others of its region: it knows all hosts, or has run for as long as
     /// that takes.
     pub(super) fn has_met_region(&self) -> bool {
-        self.now().0 >= SETTLE_MS || self.peers.borrow().is_listed()
+        self.now().0 >= SETTLE_MS || self.peers.borrow().is_membership_complete()
     }
 
     /// Takes all hosts for known once there was time to hear of them, and a host of each hall is known.
     pub(super) fn look_for_all_hosts(&self, now: Moment) {
-        if now.0 < ALL_MET_MS || self.peers.borrow().is_listed() {
+        if now.0 < ALL_MET_MS || self.peers.borrow().is_membership_complete() {
             return;
         }
         let settings = self.settings();
         let halls = settings.halls.names().filter(|hall| *hall != settings.hall);
         let mut peers = self.peers.borrow_mut();
         if peers.knows_halls(halls) || now.0 >= ALL_MET_AT_LAST_MS {
-            peers.on_listed();
+            peers.on_membership_complete();
         }
     }
 
     /// The own entry of `run` is gone from the store. An earlier run's end changes nothing.
     pub(super) fn on_own_entry_gone(&self, run: u64) {
         if run >= self.run && !self.is_leaving() {
-            self.own_entry.set(None);
+            self.own_entry_revision.set(None);
         }
     }
 }
@@ -145,13 +145,13 @@
     store: rc::Rc<S>,
 ) {
     let name = host.settings().name.clone();
-    let Some(revision) = host.own_entry.get() else {
+    let Some(revision) = host.own_entry_revision.get() else {
         return;
     };
     let removed = follow::within_limit(store.delete_host(&name, revision)).await;
     if let Err(fault) = removed {
         let fields = json!({ "peer": name, "fault": fault.to_string() });
-        host.note(EventCode::EntryNotRemoved, fields);
+        host.log_event(EventCode::EntryNotRemoved, fields);
     }
 }
 
@@ -167,12 +167,12 @@
         let own = host.record();
         let forgotten = host.peers.borrow_mut().forget_silent(&own.region, now);
         for gone in &forgotten {
-            host.note(EventCode::MemberDied, json!({ "peer": gone.name }));
+            host.log_event(EventCode::MemberDied, json!({ "peer": gone.name }));
         }
         if !host.peers.borrow().is_first_watcher(&own, now) {
             continue;
         }
-        host_gossip::spread_hosts(&host, &[], &forgotten);
+        host_gossip::broadcast_host_update(&host, &[], &forgotten);
         let abandoned = host.peers.borrow().abandoned_entries(&own);
         for entry in abandoned {
             remove_abandoned(&host, &*store, &entry).await;
@@ -193,7 +193,7 @@
         }
         Err(fault) => {
             let fields = json!({ "peer": entry.name, "fault": fault.to_string() });
-            host.note(EventCode::EntryNotRemoved, fields);
+            host.log_event(EventCode::EntryNotRemoved, fields);
         }
     }
 }
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -1,29 +1,35 @@
-//! What hosts tell each other of hosts: who came, who is gone, and the records of those that one lacks.
+//! Exchanges host records between hosts: hosts that joined or are gone, and records that one host
+//! is missing.
 
 use std::net;
 
 use super::gossip;
 use super::host::EntryHost;
 use super::peer_message::{
-    GoneHost, HeardHost, HostNews, KnownHost, PeerHeartbeat, PeerMessage, WhoIsRequest,
+    GoneHost, HostUpdate, KnownHost, PeerHeartbeat, PeerMessage, PeerStatus, WhoIsRequest,
 };
 use super::peers::HostRecord;
 use super::wire::WireProtocol;
 
-/// Hosts that one datagram tells of: a record takes some 100 bytes.
+/// Host records per datagram. A record takes about 100 bytes.
 const HOSTS_PER_DATAGRAM: usize = 10;
-/// Hosts that are greeted of those that one datagram told of. When all were, with all that was heard, and each question brought
-/// a list of the known hosts along, 300 hosts sent 52 MB between regions in place of 28 (a play each).
-const GREETED_PER_DATAGRAM: usize = 5;
+/// Hosts that get an introduction per received datagram of records. When all got one with all
+/// recent statuses, and each request carried a list of the known hosts, 300 hosts sent 52 MB
+/// between regions instead of 28 MB.
+const INTRODUCTIONS_PER_DATAGRAM: usize = 5;
 
-/// Passes on which entry hosts came or went, as seen in the store.
-pub(super) fn pass_on_hosts<W: WireProtocol>(host: &EntryHost<W>, news: HostNews) {
-    gossip::send(host, &PeerMessage::Hosts(news), &gossip::news_targets(host));
+/// Sends host changes that this host observed in the store.
+pub(super) fn send_host_update<W: WireProtocol>(host: &EntryHost<W>, update: HostUpdate) {
+    gossip::send(
+        host,
+        &PeerMessage::Hosts(update),
+        &gossip::host_update_targets(host),
+    );
 }
 
-/// Tells the own region, and some hosts of each other one that pass it on, of hosts that came or went and
-/// that the store does not tell of.
-pub(super) fn spread_hosts<W: WireProtocol>(
+/// Sends host changes that the store does not report to this region and, through relays, to each
+/// other region.
+pub(super) fn broadcast_host_update<W: WireProtocol>(
     host: &EntryHost<W>,
     joined: &[HostRecord],
     gone: &[GoneHost],
@@ -32,42 +38,42 @@
     if rounds == 0 {
         return;
     }
-    let (near, far) = {
+    let (local, remote) = {
         let region = &host.settings().region;
         let peers = host.peers.borrow();
-        let near = peers.region_targets(region);
-        (near, peers.relay_targets(region, host.now()))
+        let local = peers.region_targets(region);
+        (local, peers.relay_targets(region, host.now()))
     };
     for round in 0..rounds {
-        let news = HostNews {
-            joined: part_of(joined, round).to_vec(),
-            gone: part_of(gone, round).to_vec(),
+        let update = HostUpdate {
+            joined: datagram_items(joined, round).to_vec(),
+            gone: datagram_items(gone, round).to_vec(),
             relay: false,
         };
-        let relayed = HostNews {
+        let relayed = HostUpdate {
             relay: true,
-            ..news.clone()
+            ..update.clone()
         };
-        gossip::send(host, &PeerMessage::Hosts(news), &near);
-        gossip::send(host, &PeerMessage::Hosts(relayed), &far);
+        gossip::send(host, &PeerMessage::Hosts(update), &local);
+        gossip::send(host, &PeerMessage::Hosts(relayed), &remote);
     }
 }
 
-/// What the datagram of this number tells of.
-fn part_of<T>(all: &[T], round: usize) -> &[T] {
-    let mut parts = all.chunks(HOSTS_PER_DATAGRAM);
-    parts.nth(round).unwrap_or_default()
+/// The items that go into the datagram with this number.
+fn datagram_items<T>(all: &[T], round: usize) -> &[T] {
+    let mut chunks = all.chunks(HOSTS_PER_DATAGRAM);
+    chunks.nth(round).unwrap_or_default()
 }
 
-/// Asks a host for those that it told of and that are not known here.
-pub(super) fn ask_who<W: WireProtocol>(
+/// Asks the sender of a heartbeat for the hosts that it reports and that are unknown here.
+pub(super) fn request_missing_hosts<W: WireProtocol>(
     host: &EntryHost<W>,
     heartbeat: &PeerHeartbeat,
     source: net::SocketAddr,
 ) {
     let own = host.record();
     let mut peers = host.peers.borrow_mut();
-    let request = peers.unknown_hosts(heartbeat, &own, host.now());
+    let request = peers.missing_hosts_request(heartbeat, &own, host.now());
     drop(peers);
     if let Some(request) = request {
         host.metrics.borrow_mut().unknown_hosts_told += request.unknown.len() as u64;
@@ -75,7 +81,7 @@
     }
 }
 
-pub(super) fn tell_who<W: WireProtocol>(
+pub(super) fn answer_who_is<W: WireProtocol>(
     host: &EntryHost<W>,
     request: &WhoIsRequest,
     source: net::SocketAddr,
@@ -83,54 +89,54 @@
     let peers = host.peers.borrow();
     let known = peers.records_for(request, &host.record(), host.now());
     drop(peers);
-    for part in known.chunks(HOSTS_PER_DATAGRAM) {
-        gossip::send(host, &PeerMessage::Who(part.to_vec()), &[source]);
+    for chunk in known.chunks(HOSTS_PER_DATAGRAM) {
+        gossip::send(host, &PeerMessage::Who(chunk.to_vec()), &[source]);
     }
 }
 
-/// Meets the hosts that this one has asked for, and lets some of those hear of it that it had not met. All others hear of it
-/// by these.
-pub(super) fn on_who<W: WireProtocol>(host: &EntryHost<W>, known: &[KnownHost]) {
+/// Adds the requested hosts, and introduces this host to some of those that are new. All others
+/// learn of it through these.
+pub(super) fn on_requested_hosts<W: WireProtocol>(host: &EntryHost<W>, known: &[KnownHost]) {
     let records: Vec<HostRecord> = known.iter().map(|known| known.record.clone()).collect();
     let peers = host.peers.borrow();
-    // A host that has started again is told of this one as it joins.
+    // A host that has restarted learns of this one when it joins.
     let new = records
         .iter()
         .filter(|record| peers.run_of(&record.name) == 0);
-    let greeted: Vec<net::SocketAddr> = new
-        .take(GREETED_PER_DATAGRAM)
+    let recipients: Vec<net::SocketAddr> = new
+        .take(INTRODUCTIONS_PER_DATAGRAM)
         .map(|record| record.heartbeat_address)
         .collect();
     drop(peers);
-    learn_hosts(host, &records);
-    let heard: Vec<HeardHost> = known.iter().filter_map(|known| known.heard).collect();
+    add_hosts(host, &records);
+    let statuses: Vec<PeerStatus> = known.iter().filter_map(|known| known.status).collect();
     let now = host.now();
-    host.peers.borrow_mut().on_told(&heard, now);
-    let greeting = PeerHeartbeat {
-        heard: Vec::new(),
+    host.peers.borrow_mut().on_statuses(&statuses, now);
+    let introduction = PeerHeartbeat {
+        peer_statuses: Vec::new(),
         ..host.heartbeat(true)
     };
-    let greeting = PeerMessage::Heartbeat(Box::new(greeting));
-    gossip::send(host, &greeting, &greeted);
+    let introduction = PeerMessage::Heartbeat(Box::new(introduction));
+    gossip::send(host, &introduction, &recipients);
 }
 
-pub(super) fn on_host_news<W: WireProtocol>(host: &EntryHost<W>, news: &HostNews) {
-    if news.relay {
-        let near = host.peers.borrow().region_targets(&host.settings().region);
-        let passed_on = HostNews {
+pub(super) fn on_host_update<W: WireProtocol>(host: &EntryHost<W>, update: &HostUpdate) {
+    if update.relay {
+        let local = host.peers.borrow().region_targets(&host.settings().region);
+        let forwarded = HostUpdate {
             relay: false,
-            ..news.clone()
+            ..update.clone()
         };
-        gossip::send(host, &PeerMessage::Hosts(passed_on), &near);
+        gossip::send(host, &PeerMessage::Hosts(forwarded), &local);
     }
-    learn_hosts(host, &news.joined);
-    for gone in &news.gone {
+    add_hosts(host, &update.joined);
+    for gone in &update.gone {
         on_host_gone(host, gone);
     }
 }
 
-/// The entry of a run of a host is gone from the store. If it is this run's, the others took it for
-/// dead while it was silent: the entry is written again.
+/// Handles the removal of a host's entry from the store. If the entry belongs to this run of this
+/// host, other hosts considered it dead after a silence, and it is written again.
 pub(super) fn on_host_gone<W: WireProtocol>(host: &EntryHost<W>, gone: &GoneHost) {
     if gone.name == host.settings().name {
         host.on_own_entry_gone(gone.run);
@@ -139,8 +145,8 @@
     host.peers.borrow_mut().on_removed(&gone.name, gone.run);
 }
 
-/// Meets hosts that others or the store name.
-pub(super) fn learn_hosts<W: WireProtocol>(host: &EntryHost<W>, records: &[HostRecord]) {
+/// Adds hosts reported by other hosts or by the store.
+pub(super) fn add_hosts<W: WireProtocol>(host: &EntryHost<W>, records: &[HostRecord]) {
     let now = host.now();
     let own = host.settings().name.clone();
     let mut peers = host.peers.borrow_mut();
--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -104,7 +104,7 @@
                 "servers": self.fleet.borrow().servers().count(),
                 "version": self.configuration_version(),
             });
-            self.note(EventCode::KnowledgeComplete, fields);
+            self.log_event(EventCode::KnowledgeComplete, fields);
             self.join.completed.notify_waiters();
         }
         let parked = self.join.parked.borrow_mut().take();
@@ -195,7 +195,7 @@
     let question = match peer_message::from_bytes::<JoinQuestion>(&body.ok()?.to_bytes()) {
         Ok(question) => question,
         Err(fault) => {
-            host.note_malformed("a host that starts", &fault);
+            host.log_malformed_message("a host that starts", &fault);
             return None;
         }
     };
@@ -218,7 +218,7 @@
 fn on_asker<W: WireProtocol>(host: &EntryHost<W>, question: &JoinQuestion) {
     let record = &question.record;
     if host.peers.borrow().run_of(&record.name) < record.run {
-        host_gossip::learn_hosts(host, std::slice::from_ref(record));
+        host_gossip::add_hosts(host, std::slice::from_ref(record));
         host.join.on_met(record.clone());
     }
 }
@@ -226,7 +226,7 @@
 /// Tells others of the hosts that have asked since the last time.
 pub(super) fn spread_met<W: WireProtocol>(host: &EntryHost<W>) {
     let met = host.join.met.take();
-    host_gossip::spread_hosts(host, &met, &[]);
+    host_gossip::broadcast_host_update(host, &met, &[]);
 }
 
 async fn park<W: WireProtocol>(
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_asking.rs
@@ -66,17 +66,17 @@
     }
     let listed = tokio::time::timeout(ANSWER_LIMIT, store.list_hosts_stale()).await;
     match listed.unwrap_or(Err(StoreFault::Unreachable)) {
-        Ok(records) => host_gossip::learn_hosts(&host, &records),
+        Ok(records) => host_gossip::add_hosts(&host, &records),
         Err(fault) => {
             let fields =
                 json!({ "kind": "hosts", "call": "stale list", "result": fault.to_string() });
-            host.note(EventCode::PlatformLost, fields);
+            host.log_event(EventCode::PlatformLost, fields);
             return;
         }
     }
     let own = host.record();
     while !host.is_ready() && !host.is_leaving() && host.is_starting() {
-        let keepers = host.peers.borrow().hall_keepers(&own);
+        let keepers = host.peers.borrow().registered_hall_hosts(&own);
         join_once(&host, &keepers).await;
         tokio::time::sleep(time::Duration::from_millis(ROUND_PAUSE_MS)).await;
     }
@@ -127,7 +127,7 @@
 /// the first here.
 fn announce_elsewhere<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
     let region = host.settings().region.clone();
-    let is_near = host.peers.borrow().stands_in(source, &region);
+    let is_near = host.peers.borrow().is_in_region(source, &region);
     if !is_near {
         gossip::announce_start(host);
     }
@@ -263,7 +263,7 @@
     let answer = tokio::time::timeout(ANSWER_LIMIT, exchange).await;
     let Ok(Ok(answer)) = answer else {
         let fields = json!({ "peer": source.to_string(), "path": join::JOIN_PATH });
-        host.note(EventCode::PeerSilent, fields);
+        host.log_event(EventCode::PeerSilent, fields);
         return None;
     };
     if !answer.status.is_success() {
@@ -272,7 +272,7 @@
     match peer_message::from_bytes(&answer.body) {
         Ok(answer) => Some(answer),
         Err(fault) => {
-            host.note_malformed(&source.to_string(), &fault);
+            host.log_malformed_message(&source.to_string(), &fault);
             None
         }
     }
--- a/src/entry/limit_role/leasing.rs
+++ b/src/entry/limit_role/leasing.rs
@@ -8,7 +8,7 @@
 use crate::entry::limits::message::{LeaseOffer, LimitMessage};
 use crate::entry::limits::{GROUPS, ROUND_INTERVAL_MS};
 use crate::entry::peer_message::PeerMessage;
-use crate::entry::peers::GrantorPlace;
+use crate::entry::peers::CoordinatorAddress;
 use crate::entry::wire::WireProtocol;
 
 /// Starts the task that runs the lease rounds of this host.
@@ -42,7 +42,7 @@
         });
         let settings = self.settings();
         let regions = settings.halls.regions().into_iter();
-        let hosts = self.peers.borrow().limit_hosts(&own_region, regions);
+        let hosts = self.peers.borrow().limit_host_count(&own_region, regions);
         let offers = self.limits.member.borrow_mut().round(hosts, preferred, now);
         self.update_coordinators(&places);
         for offer in offers {
@@ -51,7 +51,7 @@
     }
 
     /// The coordinators of each group: that of the own region first, then those of the others.
-    fn find_coordinators(&self, own_region: &str) -> [Vec<Option<GrantorPlace>>; GROUPS] {
+    fn find_coordinators(&self, own_region: &str) -> [Vec<Option<CoordinatorAddress>>; GROUPS] {
         let now = self.now();
         let own = self.record();
         let own = (!self.is_leaving()).then_some(&own);
@@ -64,12 +64,12 @@
         std::array::from_fn(|group| {
             let is_skipped = |name: &str| member.is_skipped(name, now);
             let place =
-                |region: &&str| peers.grantor_of(region, group as u64, own, is_skipped, now);
+                |region: &&str| peers.coordinator_of(region, group as u64, own, is_skipped, now);
             regions.iter().map(place).collect()
         })
     }
 
-    fn update_coordinators(&self, places: &[Vec<Option<GrantorPlace>>; GROUPS]) {
+    fn update_coordinators(&self, places: &[Vec<Option<CoordinatorAddress>>; GROUPS]) {
         let mut coordinator_lists = self.limits.coordinator_lists.borrow_mut();
         let mut known = self.limits.coordinator_addresses.borrow_mut();
         known.clear();
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -173,12 +173,12 @@
     let own = host.record();
     let own = host.is_ready().then_some(&own);
     let peers = host.peers.borrow();
-    let live = peers.named_for(&request.region, own, host.now());
+    let live = peers.advertised_for(&request.region, own, host.now());
     let sample = sample_hosts(live.addresses, &mut host.random.borrow_mut());
     if sample.is_empty() {
         return empty_response(http::StatusCode::SERVICE_UNAVAILABLE);
     }
-    let max_ttl = if live.is_elsewhere {
+    let max_ttl = if live.is_remote {
         FALLBACK_TIME_TO_LIVE
     } else {
         LOOKUP_TIME_TO_LIVE
@@ -255,7 +255,7 @@
             http::Response::new(Full::new(bytes))
         }
         Err(fault) => {
-            host.note_malformed("self", &fault);
+            host.log_malformed_message("self", &fault);
             empty_response(http::StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,183 +1,190 @@
-//! The entry hosts that this one knows: who lives, who is ready, whom callers are sent to.
+//! Tracks the other entry hosts: which are alive and ready, and which addresses lookups return.
 //!
-//! What hosts tell of third ones stands in `heard`, how they find out whom they lack in `reconcile`, how many there are in `region_size`, where datagrams go in `targets`, and who
-//! watches the store in `watchers`.
-
-mod grantors;
-mod heard;
-mod keepers;
-mod limit_keepers;
+//! [`PeerTable`] is filled from the store and from heartbeats. Its submodules handle one task each:
+//! `peer_status` the gossip about third hosts, `reconcile` finding missing hosts, `region_size`
+//! host counts, `targets` the recipients of datagrams, `watchers` the choice of hosts that watch
+//! the store, and `registration`, `coordinators`, `limit_owners` and `suspect_trackers` the choice
+//! of hosts for other duties.
+
+mod coordinators;
+mod limit_owners;
+mod peer_status;
 mod reconcile;
 mod region_size;
-mod suspect_keepers;
+mod registration;
+mod suspect_trackers;
 mod targets;
 mod watchers;
 
 use std::{cell, collections, net, rc};
 
-pub use self::grantors::GrantorPlace;
-pub use self::keepers::ENTRY_KEEPERS;
-pub use self::limit_keepers::{KeeperPlace, KeeperQuery};
-pub use self::targets::{NEAR_TARGETS, NEWS_RELAYS, NewsTargets};
-pub use self::watchers::WATCHERS;
+pub use self::coordinators::CoordinatorAddress;
+pub use self::limit_owners::{LimitOwner, LimitOwnerQuery};
+pub use self::registration::REGISTERED_HOSTS_PER_HALL;
+pub use self::targets::{HEARTBEAT_FANOUT, RELAYS_PER_HALL, UpdateTargets};
+pub use self::watchers::WATCHERS_PER_REGION;
 use super::hash;
 use super::peer_message::{PeerHeartbeat, WatchState};
 use crate::timer::Moment;
 
-/// A host that was not heard for this long is not named to callers, in milliseconds. Four
-/// heartbeats, so that one lost datagram changes nothing; well inside the time in which callers
-/// must not be sent to a host that is gone.
-pub const SILENT_MS: u64 = 2_000;
-/// The same in a region so large that most hosts are heard of through others: two more heartbeats,
-/// in which the word goes round, in milliseconds.
-pub const INDIRECT_SILENT_MS: u64 = 3_000;
-/// A host of the own region that was silent for this long is forgotten, and its entry is removed from the
+/// A host not seen for this long is no longer advertised to callers, in milliseconds. Four
+/// heartbeats fit in, so one lost datagram changes nothing, and it is well below the time within
+/// which callers must stop being sent to a failed host.
+pub const PEER_TIMEOUT_MS: u64 = 2_000;
+/// The same in a region where most hosts are seen only through gossip: two more heartbeats for the
+/// status to spread, in milliseconds.
+pub const INDIRECT_PEER_TIMEOUT_MS: u64 = 3_000;
+/// A host of the own region not seen for this long is forgotten and its entry is removed from the
 /// store, in milliseconds.
-const REMOVE_MS: u64 = 20_000;
-/// One run of an entry host, as the store and other hosts hold it.
+const REMOVE_TIMEOUT_MS: u64 = 20_000;
+/// One run of an entry host, as it is written to the store and sent to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HostRecord {
     /// The host's name.
     pub name: String,
-    /// Rises with each start of the host's process.
+    /// Increases with each start of the host's process.
     pub run: u64,
-    /// The hall that it stands in.
+    /// The hall that the host is in.
     pub hall: String,
     /// The region of that hall.
     pub region: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: net::SocketAddr,
-    /// Where other hosts fetch what it knows.
+    /// Address from which other hosts fetch state.
     pub peer_address: net::SocketAddr,
-    /// Where heartbeats go (UDP).
+    /// UDP address for heartbeats and other datagrams.
     pub heartbeat_address: net::SocketAddr,
-    /// The part of a core that it has, in thousandths; the larger hosts watch the store.
+    /// The host's share of a core, in thousandths. Larger hosts watch the store.
     pub processor_milli: u32,
-    /// The hosts that it knew in its region when this was written, itself included; 0 where it did not tell.
+    /// Number of hosts that this host knew in its region when it wrote the record, itself included;
+    /// 0 if it did not report any.
     #[serde(default)]
     pub region_hosts: u32,
 }
 
-/// What is known of one of them.
+/// State of one other host.
 #[derive(Debug)]
 struct PeerEntry {
     record: HostRecord,
-    heard: Option<Moment>,
-    met: Moment,
+    last_seen: Option<Moment>,
+    discovered_at: Moment,
     ready: bool,
     leaving: bool,
     watch: WatchState,
 }
 
 impl PeerEntry {
-    fn is_heard(&self, now: Moment, silent_ms: u64) -> bool {
-        self.heard
-            .is_some_and(|heard| now.since(heard) <= silent_ms)
+    fn is_alive(&self, now: Moment, timeout_ms: u64) -> bool {
+        self.last_seen
+            .is_some_and(|seen| now.since(seen) <= timeout_ms)
     }
 
-    /// Heard, or met so lately that its first heartbeat may be on its way.
-    fn may_live(&self, now: Moment, silent_ms: u64) -> bool {
-        now.since(self.heard.unwrap_or(self.met)) <= silent_ms
+    /// Whether the host was seen, or discovered, so recently that it may be alive. The first
+    /// heartbeat of a newly discovered host may still be on its way.
+    fn may_be_alive(&self, now: Moment, timeout_ms: u64) -> bool {
+        now.since(self.last_seen.unwrap_or(self.discovered_at)) <= timeout_ms
     }
 
-    /// Heard lately, and not about to stop.
-    fn stays(&self, now: Moment, silent_ms: u64) -> bool {
-        self.is_heard(now, silent_ms) && !self.leaving
+    /// Whether the host is alive and has not announced its shutdown.
+    fn is_active(&self, now: Moment, timeout_ms: u64) -> bool {
+        self.is_alive(now, timeout_ms) && !self.leaving
     }
 
-    /// It was heard itself.
+    /// Applies a heartbeat that came from the host itself.
     fn on_heartbeat(
         &mut self,
         heartbeat: &PeerHeartbeat,
         now: Moment,
-        silent_ms: u64,
+        timeout_ms: u64,
     ) -> PeerChange {
-        let silent = !self.is_heard(now, silent_ms);
-        let turned = heartbeat.leaving && !self.leaving;
-        self.heard = Some(now);
+        let was_silent = !self.is_alive(now, timeout_ms);
+        let starts_leaving = heartbeat.leaving && !self.leaving;
+        self.last_seen = Some(now);
         self.ready = heartbeat.ready;
         self.watch = heartbeat.watch;
-        // A host that leaves never comes back in the same run; a late datagram must not undo that.
+        // A leaving host never returns in the same run; a late datagram must not reset the flag.
         self.leaving |= heartbeat.leaving;
-        match (turned, silent) {
+        match (starts_leaving, was_silent) {
             (true, _) => PeerChange::Leaving,
-            (false, true) => PeerChange::Heard,
+            (false, true) => PeerChange::Appeared,
             (false, false) => PeerChange::None,
         }
     }
 }
 
-/// The hosts that callers may be sent to.
+/// Hosts that callers may be sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct NamedHosts {
-    /// Where callers connect.
+pub struct AdvertisedHosts {
+    /// Addresses for callers.
     pub addresses: Vec<net::SocketAddr>,
-    /// Whether they stand in other regions than the caller, since none of its own is known to live.
-    pub is_elsewhere: bool,
+    /// Whether the hosts are in other regions than the caller, because none of the caller's region
+    /// is known to be alive.
+    pub is_remote: bool,
 }
 
-/// What a heartbeat changed, for the log.
+/// The effect of a heartbeat, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerChange {
-    /// A host, or a new run of it, is heard for the first time, or again after a silence.
-    Heard,
-    /// It leaves.
+    /// A host or a new run of it was seen for the first time, or again after a timeout.
+    Appeared,
+    /// The host announced its shutdown.
     Leaving,
-    /// Nothing that callers would notice.
+    /// Nothing that concerns callers.
     None,
 }
 
 /// The other entry hosts.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    /// Its order is the same in each run, so that what a random source of the same seed chooses from it is.
+    /// After the same insertions, `FxHashMap` iterates in the same order in every process, so
+    /// random choices with the same seed give the same hosts.
     peers: rustc_hash::FxHashMap<String, PeerEntry>,
-    /// Names by their short hashes.
-    names: collections::HashMap<u32, String>,
-    /// What was asked of others.
+    /// Host names by the short hashes used in gossip.
+    names_by_hash: collections::HashMap<u32, String>,
+    /// State of the requests for missing hosts.
     reconcile: reconcile::ReconcileState,
-    /// How many hosts of each region are known.
+    /// Number of known hosts by region.
     region_counts: collections::BTreeMap<String, u32>,
-    /// Hashes of all names; made when asked for, since a host that starts meets hundreds. With all
-    /// indexes made anew for each, meeting 295 hosts took 7.3 ms of a whole core; now 0.17 ms
-    /// (five runs of a loop over new records).
-    hashes: cell::RefCell<Option<rc::Rc<[u64]>>>,
-    /// Entries of hosts in the store, on hosts that watch it.
-    entries: collections::HashMap<String, keepers::HostEntry>,
-    /// The most hosts of each region that others told of lately.
-    told_sizes: collections::BTreeMap<String, region_size::ToldSize>,
-    /// Whether the entries in the store were ever read.
+    /// Hashes of all host names, computed on demand. Rebuilding all indexes for each new host took
+    /// 7.3 ms of a whole core for 295 hosts; this takes 0.17 ms.
+    name_hashes: cell::RefCell<Option<rc::Rc<[u64]>>>,
+    /// Entries of hosts in the store; filled only on hosts that watch the store.
+    store_entries: collections::HashMap<String, registration::HostEntry>,
+    /// The largest recently reported size of each region.
+    reported_sizes: collections::BTreeMap<String, region_size::ReportedSize>,
+    /// Whether the entries in the store were read at least once.
     entries_read: bool,
-    /// Whether all hosts are known, as far as can be told.
-    listed: bool,
-    /// Whether the settings name seeds beside this host, so that there probably are other hosts.
+    /// Whether all hosts are presumed to be known.
+    membership_complete: bool,
+    /// Whether the settings name other seeds, so that other hosts probably exist.
     may_have_peers: bool,
 }
 
 impl PeerTable {
-    /// Learns of a host from the store or another host.
+    /// Adds a host, or a newer run of it, learned from the store or another host.
     pub fn on_record(&mut self, record: &HostRecord, now: Moment) {
-        self.on_told_size(&record.region, record.region_hosts, now);
+        self.on_reported_size(&record.region, record.region_hosts, now);
         let known = self.peers.get(&record.name);
         if known.is_some_and(|known| known.record.run >= record.run) {
             return;
         }
         let entry = PeerEntry {
             record: record.clone(),
-            heard: None,
-            met: now,
+            last_seen: None,
+            discovered_at: now,
             ready: false,
             leaving: false,
             watch: WatchState::Idle,
         };
-        let before = self.peers.insert(record.name.clone(), entry);
-        match before {
-            Some(before) => self.uncount(&before.record.region),
+        let previous = self.peers.insert(record.name.clone(), entry);
+        match previous {
+            Some(previous) => self.decrement_region_count(&previous.record.region),
             None => self.on_new_name(&record.name),
         }
-        // Those that start together find the store without entries, and know each other by heartbeats.
-        if self.entries_read && self.entries.is_empty() {
-            self.on_listed();
+        // Hosts that start together find no entries in the store and learn of each other by
+        // heartbeats.
+        if self.entries_read && self.store_entries.is_empty() {
+            self.on_membership_complete();
         }
         let count = self.region_counts.entry(record.region.clone());
         *count.or_default() += 1;
@@ -185,85 +192,87 @@
 
     fn on_new_name(&mut self, name: &str) {
         self.reconcile.on_new_name();
-        self.names.insert(heard::short_hash(name), name.to_owned());
-        *self.hashes.get_mut() = None;
+        self.names_by_hash
+            .insert(peer_status::short_hash(name), name.to_owned());
+        *self.name_hashes.get_mut() = None;
     }
 
-    fn uncount(&mut self, region: &str) {
+    fn decrement_region_count(&mut self, region: &str) {
         if let Some(count) = self.region_counts.get_mut(region) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// A host was heard.
+    /// Applies a heartbeat and the peer statuses in it.
     pub fn on_heartbeat(&mut self, heartbeat: &PeerHeartbeat, now: Moment) -> PeerChange {
         if let Some(record) = &heartbeat.record {
             self.on_record(record, now);
         }
-        self.on_told(&heartbeat.heard, now);
+        self.on_statuses(&heartbeat.peer_statuses, now);
         let region = self
             .peers
             .get(&heartbeat.host)
             .map(|peer| &peer.record.region);
-        let silent_ms = region.map_or(SILENT_MS, |region| self.silent_ms(region));
+        let timeout_ms = region.map_or(PEER_TIMEOUT_MS, |region| self.timeout_ms(region));
         match self.peers.get_mut(&heartbeat.host) {
             Some(peer) if peer.record.run == heartbeat.run => {
-                peer.on_heartbeat(heartbeat, now, silent_ms)
+                peer.on_heartbeat(heartbeat, now, timeout_ms)
             }
             _ => PeerChange::None,
         }
     }
 
-    /// The entry of a host's run is gone from the store. Word of an earlier run's end may come late.
+    /// Removes a host after its entry is gone from the store, unless a later run is known. The
+    /// report of an earlier run's end may arrive late.
     pub fn on_removed(&mut self, name: &str, run: u64) {
         let known = self.peers.get(name);
         if known.is_some_and(|known| known.record.run <= run)
             && let Some(removed) = self.peers.remove(name)
         {
-            self.uncount(&removed.record.region);
-            self.names.remove(&heard::short_hash(name));
-            *self.hashes.get_mut() = None;
+            self.decrement_region_count(&removed.record.region);
+            self.names_by_hash.remove(&peer_status::short_hash(name));
+            *self.name_hashes.get_mut() = None;
         }
     }
 
-    /// The run of a host that is known; 0 for none.
+    /// The known run of a host; 0 if the host is unknown.
     #[must_use]
     pub fn run_of(&self, name: &str) -> u64 {
         self.peers.get(name).map_or(0, |peer| peer.record.run)
     }
 
-    /// Hashes of the names of all others; `None` until the whole list was read.
+    /// Hashes of the names of all other hosts; `None` until all hosts are presumed to be known.
     #[must_use]
     pub fn other_hashes(&self) -> Option<rc::Rc<[u64]>> {
         let hash_all = || self.peers.keys().map(|name| hash::of_name(name)).collect();
-        self.listed.then(|| {
-            let mut hashes = self.hashes.borrow_mut();
+        self.membership_complete.then(|| {
+            let mut hashes = self.name_hashes.borrow_mut();
             rc::Rc::clone(hashes.get_or_insert_with(hash_all))
         })
     }
 
-    fn near<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a PeerEntry> {
+    fn in_region<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a PeerEntry> {
         let peers = self.peers.values();
         peers.filter(move |peer| peer.record.region == region)
     }
 
-    /// How long a host of `region` may be silent before it counts as gone, in milliseconds.
-    fn silent_ms(&self, region: &str) -> u64 {
+    /// How long a host of `region` may go unseen before it counts as gone, in milliseconds.
+    fn timeout_ms(&self, region: &str) -> u64 {
         let count = self.region_counts.get(region);
-        if count.is_some_and(|count| *count as usize > NEAR_TARGETS) {
-            INDIRECT_SILENT_MS
+        if count.is_some_and(|count| *count as usize > HEARTBEAT_FANOUT) {
+            INDIRECT_PEER_TIMEOUT_MS
         } else {
-            SILENT_MS
+            PEER_TIMEOUT_MS
         }
     }
 
-    /// Where the peer address of a host is, if it is known.
+    /// The peer address of a host, if the host is known.
     #[must_use]
     pub fn peer_address(&self, host: &str) -> Option<net::SocketAddr> {
         self.peers.get(host).map(|peer| peer.record.peer_address)
     }
 
-    /// Where the datagrams of a host go, if it is known.
+    /// The heartbeat address of a host, if the host is known.
     #[must_use]
     pub fn heartbeat_address(&self, host: &str) -> Option<net::SocketAddr> {
         self.peers
@@ -271,44 +280,45 @@
             .map(|peer| peer.record.heartbeat_address)
     }
 
-    /// Whether the host with this peer address is known to stand in `region`.
+    /// Whether a known host in `region` has this peer address.
     #[must_use]
-    pub fn stands_in(&self, peer_address: net::SocketAddr, region: &str) -> bool {
-        let mut near = self.near(region);
-        near.any(|peer| peer.record.peer_address == peer_address)
+    pub fn is_in_region(&self, peer_address: net::SocketAddr, region: &str) -> bool {
+        let mut hosts = self.in_region(region);
+        hosts.any(|peer| peer.record.peer_address == peer_address)
     }
 
-    /// Whether any other host is known.
+    /// Whether no other host is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// The records of all others.
+    /// The records of all other hosts.
     pub fn records(&self) -> impl Iterator<Item = &HostRecord> {
         self.peers.values().map(|peer| &peer.record)
     }
 
-    /// Whether the entries of hosts in the store were ever read here.
+    /// Whether this host has read the entries in the store at least once.
     #[must_use]
     pub const fn has_read_entries(&self) -> bool {
         self.entries_read
     }
 
-    /// The settings name seeds beside this host.
+    /// Records that the settings name other seeds.
     pub const fn on_other_seeds(&mut self) {
         self.may_have_peers = true;
     }
 
-    /// All hosts are known, since another host that knows them told, or enough time has passed.
-    pub const fn on_listed(&mut self) {
-        self.listed = true;
+    /// Records that all hosts are known: another host reported a complete list, or enough time has
+    /// passed.
+    pub const fn on_membership_complete(&mut self) {
+        self.membership_complete = true;
     }
 
-    /// Whether all hosts are known, as far as can be told.
+    /// Whether all hosts are presumed to be known.
     #[must_use]
-    pub const fn is_listed(&self) -> bool {
-        self.listed
+    pub const fn is_membership_complete(&self) -> bool {
+        self.membership_complete
     }
 
     /// Whether a host of each of these halls is known.
@@ -316,20 +326,25 @@
         halls.all(|hall| self.records().any(|record| record.hall == hall))
     }
 
-    /// The hosts to name to a caller in `region`: those that live, are ready and stay, and `own`. Its own
-    /// region's, if there are any, else all.
+    /// The hosts to advertise to a caller in `region`: all that are alive, ready and not leaving,
+    /// and `own`. Hosts of other regions are included only if the caller's region has none.
     #[must_use]
-    pub fn named_for(&self, region: &str, own: Option<&HostRecord>, now: Moment) -> NamedHosts {
-        let near = self.live_addresses(|record| record.region == region, own, now);
-        if !near.is_empty() {
-            return NamedHosts {
-                addresses: near,
-                is_elsewhere: false,
+    pub fn advertised_for(
+        &self,
+        region: &str,
+        own: Option<&HostRecord>,
+        now: Moment,
+    ) -> AdvertisedHosts {
+        let local = self.live_addresses(|record| record.region == region, own, now);
+        if !local.is_empty() {
+            return AdvertisedHosts {
+                addresses: local,
+                is_remote: false,
             };
         }
-        NamedHosts {
+        AdvertisedHosts {
             addresses: self.live_addresses(|_| true, own, now),
-            is_elsewhere: true,
+            is_remote: true,
         }
     }
 
@@ -340,8 +355,8 @@
         now: Moment,
     ) -> Vec<net::SocketAddr> {
         let live = self.peers.values().filter(|peer| {
-            let silent_ms = self.silent_ms(&peer.record.region);
-            peer.stays(now, silent_ms) && peer.ready
+            let timeout_ms = self.timeout_ms(&peer.record.region);
+            peer.is_active(now, timeout_ms) && peer.ready
         });
         live.map(|peer| &peer.record)
             .chain(own)
--- a/src/entry/peers/reconcile.rs
+++ b/src/entry/peers/reconcile.rs
@@ -1,90 +1,95 @@
-//! How hosts find out that they know different hosts, and ask for those that they lack.
+//! Finds hosts that other hosts know and this one does not.
 //!
-//! A heartbeat tells how many hosts its sender knows, and some of them by short hashes. Who is told of one that it does not
-//! know, or hears that another knows more, asks that one.
+//! A heartbeat carries the number of hosts that its sender knows and the statuses of some of them
+//! by short hash. A recipient that sees an unknown hash, or a larger count than its own, asks the
+//! sender.
 
 use std::collections;
 
-use super::heard::{run_low, short_hash};
-use super::{HostRecord, PeerEntry, PeerTable, REMOVE_MS};
+use super::peer_status::{run_low, short_hash};
+use super::{HostRecord, PeerEntry, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::hash;
-use crate::entry::peer_message::{HeardHost, KnownHost, KnownSlice, PeerHeartbeat, WhoIsRequest};
+use crate::entry::peer_message::{KnownHost, KnownSlice, PeerHeartbeat, PeerStatus, WhoIsRequest};
 use crate::timer::Moment;
 
-/// A host that is told of and not known is asked for again after this time, in milliseconds: a heartbeat, so that
-/// a lost datagram costs no more than one.
-const ASK_AGAIN_MS: u64 = 500;
+/// Interval between requests for the same unknown host, in milliseconds. One heartbeat, so that a
+/// lost datagram delays discovery by no more than that.
+const REQUEST_RETRY_MS: u64 = 500;
 
-/// A host that knows fewer than another asks it after this time, in milliseconds, though nobody tells of one that it
-/// lacks: they may differ in one that is gone, and a question takes 1,000 bytes.
-const COMPARE_MS: u64 = 2_000;
+/// Interval between requests to a host of another region that knows more hosts, in milliseconds.
+/// The counts may differ only by a host that is gone, and a request takes 1,000 bytes.
+const REMOTE_REQUEST_INTERVAL_MS: u64 = 2_000;
 
-/// Questions in vain before they come more seldom: those that start together know little themselves at first.
-const ASKED_AT_FIRST: u32 = 8;
-/// Doublings of the time between two such questions, at most, while nobody new is met by them.
-const MAX_GAP_DOUBLINGS: u32 = 4;
+/// Number of consecutive requests without a new host before backoff starts. Hosts that start
+/// together know few others at first.
+const REQUESTS_BEFORE_BACKOFF: u32 = 8;
+/// Maximum number of doublings of the request interval.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Marks of known hosts that one datagram carries; some 1,000 bytes.
+/// Marks of known hosts in one datagram; about 1,000 bytes.
 const MARKS_PER_DATAGRAM: u32 = 480;
 
-/// Hosts that were heard in this time are told to one that lacks them, in milliseconds: half of the time after which a
-/// silent one is forgotten, so that no two hosts tell each other of a dead one by turns.
-const TOLD_AGAIN_MS: u64 = REMOVE_MS / 2;
+/// Maximum age of a status that is reported to a host that asks, in milliseconds. Half of the
+/// removal timeout, so that two hosts cannot keep reporting a dead host to each other in
+/// alternation.
+const MAX_REPORTED_AGE_MS: u64 = REMOVE_TIMEOUT_MS / 2;
 
-/// Hosts that one is told of besides those that it asked for, at most: twelve datagrams.
-const RECORDS_BESIDE: usize = 120;
+/// Maximum number of records sent in addition to the requested ones; twelve datagrams.
+const MAX_EXTRA_RECORDS: usize = 120;
 
-/// What a host lacks of what another one knows.
+/// Which hosts known to the sender of a heartbeat are missing here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum KnownLack {
-    /// Nothing, as far as can be seen.
+enum MissingHosts {
+    /// None, as far as the counts show.
     None,
-    /// Hosts of the other one's region, which that one knows well.
-    Near,
+    /// Hosts of the sender's region, which the sender knows well.
+    SenderRegion,
     /// Hosts of any region.
-    Far,
+    AnyRegion,
 }
 
-/// What one host has asked others for.
+/// State of the requests for missing hosts.
 #[derive(Debug, Default)]
 pub(super) struct ReconcileState {
-    /// Hosts that were asked for lately, by their short hashes.
-    asked: rustc_hash::FxHashMap<u32, Moment>,
-    /// When another host was last asked for all that this one lacks.
-    asked_all: Option<Moment>,
-    /// How many hosts that one knew.
-    asked_count: u32,
-    /// How often in a row nobody new was met by that.
-    asked_in_vain: u32,
-    /// How often others were asked for all.
-    questions: u32,
+    /// Recently requested hosts, by short hash.
+    requested: rustc_hash::FxHashMap<u32, Moment>,
+    /// Time of the last request for all missing hosts.
+    last_full_request: Option<Moment>,
+    /// Number of hosts that the recipient of that request knew.
+    last_target_count: u32,
+    /// Consecutive requests for all missing hosts that led to no new host.
+    fruitless_requests: u32,
+    /// Number of requests for all missing hosts.
+    full_requests: u32,
 }
 
 impl ReconcileState {
-    /// A host was met that was not known before.
+    /// Resets the backoff because a new host was discovered.
     pub(super) const fn on_new_name(&mut self) {
-        self.asked_in_vain = 0;
+        self.fruitless_requests = 0;
     }
 
-    fn forget_asked(&mut self, now: Moment) {
-        self.asked
-            .retain(|_, asked| now.since(*asked) < ASK_AGAIN_MS);
+    fn forget_old_requests(&mut self, now: Moment) {
+        self.requested
+            .retain(|_, at| now.since(*at) < REQUEST_RETRY_MS);
     }
 }
 
 impl PeerTable {
-    /// What to ask the sender of a heartbeat for: hosts that it shows to live, itself among them, and that are not known
-    /// here in the run that lives; each once in half a second. Without it hosts that missed each other's first words
-    /// never met: of 40 starts of nine hosts five were not whole after 16 s.
-    pub fn unknown_hosts(
+    /// Builds the request to the sender of a heartbeat for hosts that it reports as alive, itself
+    /// included, and whose current run is unknown here. Each host is requested at most once in half
+    /// a second. Without these requests, hosts that missed each other's first heartbeats never
+    /// discovered each other: in 5 of 40 starts of nine hosts the membership was incomplete after
+    /// 16 s.
+    pub fn missing_hosts_request(
         &mut self,
         heartbeat: &PeerHeartbeat,
         own: &HostRecord,
         now: Moment,
     ) -> Option<WhoIsRequest> {
         let own_hash = short_hash(&own.name);
-        self.reconcile.forget_asked(now);
-        let sender = HeardHost {
+        self.reconcile.forget_old_requests(now);
+        let sender = PeerStatus {
             name_hash: short_hash(&heartbeat.host),
             run_low: run_low(heartbeat.run),
             age_tenths: 0,
@@ -92,78 +97,78 @@
             watch: heartbeat.watch,
         };
         let mut unknown = Vec::new();
-        for told in heartbeat.heard.iter().chain([&sender]) {
-            let is_due = told.name_hash != own_hash && !self.knows_run(told);
-            if is_due && !self.reconcile.asked.contains_key(&told.name_hash) {
-                self.reconcile.asked.insert(told.name_hash, now);
-                unknown.push(told.name_hash);
+        for status in heartbeat.peer_statuses.iter().chain([&sender]) {
+            let is_due = status.name_hash != own_hash && !self.knows_run(status);
+            if is_due && !self.reconcile.requested.contains_key(&status.name_hash) {
+                self.reconcile.requested.insert(status.name_hash, now);
+                unknown.push(status.name_hash);
             }
         }
         let known = self
-            .may_ask_for_all(heartbeat, &own.region, now)
-            .then(|| self.known_for_all(own_hash, heartbeat.known_hosts, now));
-        let asks = known.is_some() || !unknown.is_empty();
-        asks.then_some(WhoIsRequest { unknown, known })
+            .should_request_all(heartbeat, &own.region, now)
+            .then(|| self.known_slice(own_hash, heartbeat.known_hosts, now));
+        let is_needed = known.is_some() || !unknown.is_empty();
+        is_needed.then_some(WhoIsRequest { unknown, known })
     }
 
-    /// What this host lacks of what the sender of a heartbeat knows, by the counts of both.
-    fn lack_beside(&self, heartbeat: &PeerHeartbeat, own_region: &str) -> KnownLack {
+    /// Which hosts are missing here, judged by the counts in a heartbeat.
+    fn missing_hosts(&self, heartbeat: &PeerHeartbeat, own_region: &str) -> MissingHosts {
         let sender = self.peers.get(&heartbeat.host);
-        let near = sender.map_or(0, |sender| {
+        let known_in_region = sender.map_or(0, |sender| {
             let region = &sender.record.region;
             let own = u32::from(region == own_region);
             self.region_counts.get(region).copied().unwrap_or(0) + own
         });
-        if heartbeat.known_near > near {
-            KnownLack::Near
+        if heartbeat.known_near > known_in_region {
+            MissingHosts::SenderRegion
         } else if heartbeat.known_hosts > self.known_count() {
-            KnownLack::Far
+            MissingHosts::AnyRegion
         } else {
-            KnownLack::None
+            MissingHosts::None
         }
     }
 
-    /// Whether to ask the sender of a heartbeat for all that this host lacks: once in a while as long as it meets others
-    /// by that, and ever more seldom when it meets none, since two hosts differ also by a dead one until both have forgotten
-    /// it. A host of the own region that knows more than the last that was asked is asked at once: only between
-    /// regions are bytes dear.
-    fn may_ask_for_all(&self, heartbeat: &PeerHeartbeat, own_region: &str, now: Moment) -> bool {
-        let lack = self.lack_beside(heartbeat, own_region);
-        let is_near = self.is_of_region(&heartbeat.host, own_region);
-        let gap_ms = match lack {
-            KnownLack::None => return false,
-            KnownLack::Near => ASK_AGAIN_MS,
-            KnownLack::Far if is_near => ASK_AGAIN_MS,
-            KnownLack::Far => COMPARE_MS,
+    /// Whether to ask the sender of a heartbeat for all missing hosts. The request interval grows
+    /// while requests lead to no new host, because the counts also differ by a dead host until both
+    /// sides have forgotten it. A host of the own region that knows more than the last one asked is
+    /// asked at once, since only traffic between regions is expensive.
+    fn should_request_all(&self, heartbeat: &PeerHeartbeat, own_region: &str, now: Moment) -> bool {
+        let missing = self.missing_hosts(heartbeat, own_region);
+        let is_local = self.is_host_in_region(&heartbeat.host, own_region);
+        let interval_ms = match missing {
+            MissingHosts::None => return false,
+            MissingHosts::SenderRegion => REQUEST_RETRY_MS,
+            MissingHosts::AnyRegion if is_local => REQUEST_RETRY_MS,
+            MissingHosts::AnyRegion => REMOTE_REQUEST_INTERVAL_MS,
         };
-        let Some(asked) = self.reconcile.asked_all else {
+        let Some(last_request) = self.reconcile.last_full_request else {
             return true;
         };
-        let in_vain = self.reconcile.asked_in_vain;
-        let doublings = in_vain.saturating_sub(ASKED_AT_FIRST);
-        let gap_ms = gap_ms << doublings.min(MAX_GAP_DOUBLINGS);
-        let knows_more = is_near && heartbeat.known_hosts > self.reconcile.asked_count;
-        knows_more || now.since(asked) >= gap_ms
+        let fruitless = self.reconcile.fruitless_requests;
+        let doublings = fruitless.saturating_sub(REQUESTS_BEFORE_BACKOFF);
+        let interval_ms = interval_ms << doublings.min(MAX_BACKOFF_DOUBLINGS);
+        let knows_more = is_local && heartbeat.known_hosts > self.reconcile.last_target_count;
+        knows_more || now.since(last_request) >= interval_ms
     }
 
-    fn is_of_region(&self, name: &str, region: &str) -> bool {
+    fn is_host_in_region(&self, name: &str, region: &str) -> bool {
         let peer = self.peers.get(name);
         peer.is_some_and(|peer| peer.record.region == region)
     }
 
-    /// What this host knows, for one that knows `asked_count` hosts and is asked for all others.
-    fn known_for_all(&mut self, own_hash: u32, asked_count: u32, now: Moment) -> KnownSlice {
+    /// Describes the hosts known here, for a request to a host that knows `target_count` hosts.
+    fn known_slice(&mut self, own_hash: u32, target_count: u32, now: Moment) -> KnownSlice {
         let state = &mut self.reconcile;
-        if state.asked_all.replace(now).is_some() {
-            state.asked_in_vain += 1;
+        if state.last_full_request.replace(now).is_some() {
+            state.fruitless_requests += 1;
         }
-        state.asked_count = asked_count;
-        state.questions = state.questions.wrapping_add(1);
-        let salt = state.questions;
-        let known = u32::try_from(self.names.len()).unwrap_or(u32::MAX);
+        state.last_target_count = target_count;
+        state.full_requests = state.full_requests.wrapping_add(1);
+        let salt = state.full_requests;
+        let known = u32::try_from(self.names_by_hash.len()).unwrap_or(u32::MAX);
         let parts = known.div_ceil(MARKS_PER_DATAGRAM).max(1);
         let part = salt % parts;
-        let hashes = self.names.keys().chain([&own_hash]).copied();
+        let hashes = self.names_by_hash.keys().chain([&own_hash]).copied();
         let hashes = hashes.filter(|hash| hash % parts == part);
         KnownSlice {
             salt,
@@ -173,14 +178,14 @@
         }
     }
 
-    fn knows_run(&self, told: &HeardHost) -> bool {
-        let name = self.names.get(&told.name_hash);
+    fn knows_run(&self, status: &PeerStatus) -> bool {
+        let name = self.names_by_hash.get(&status.name_hash);
         let known = name.and_then(|name| self.peers.get(name));
-        known.is_some_and(|known| run_low(known.record.run) == told.run_low)
+        known.is_some_and(|known| run_low(known.record.run) == status.run_low)
     }
 
-    /// The hosts that another one asks for, `own` among them, and some of those that it lacks besides. Of hosts
-    /// that are not known here there are none.
+    /// The requested hosts, possibly `own` among them, and some others that the requester is
+    /// missing. Hosts unknown here are left out.
     #[must_use]
     pub fn records_for(
         &self,
@@ -191,21 +196,21 @@
         let own_hash = short_hash(&own.name);
         let own = request.unknown.contains(&own_hash).then(|| KnownHost {
             record: own.clone(),
-            heard: None,
+            status: None,
         });
         let names = request.unknown.iter();
-        let names = names.filter_map(|hash| self.names.get(hash));
-        let asked = names.filter_map(|name| self.peers.get(name));
-        let known = asked.chain(self.lacking(request, now));
+        let names = names.filter_map(|hash| self.names_by_hash.get(hash));
+        let requested = names.filter_map(|name| self.peers.get(name));
+        let known = requested.chain(self.extra_hosts(request, now));
         let known = known.map(|peer| KnownHost {
             record: peer.record.clone(),
-            heard: peer.told(TOLD_AGAIN_MS, now),
+            status: peer.status(MAX_REPORTED_AGE_MS, now),
         });
         known.chain(own).collect()
     }
 
-    /// Hosts that live and that the asker knows nothing of.
-    fn lacking<'a>(
+    /// Recently seen hosts that the requester does not know.
+    fn extra_hosts<'a>(
         &'a self,
         request: &'a WhoIsRequest,
         now: Moment,
@@ -218,14 +223,15 @@
                 hash.checked_rem(slice.parts) == Some(slice.part)
                     && !known.contains(&mark_of(hash, slice.salt))
                     && !request.unknown.contains(&hash)
-                    && peer.is_heard(now, TOLD_AGAIN_MS)
+                    && peer.is_alive(now, MAX_REPORTED_AGE_MS)
             });
-            peers.take(RECORDS_BESIDE)
+            peers.take(MAX_EXTRA_RECORDS)
         })
     }
 }
 
-/// Two bytes that tell some hundred hosts apart within one question; another question takes others.
+/// A two-byte mark that distinguishes some hundred hosts within one request. The salt changes the
+/// collisions from one request to the next.
 fn mark_of(short_hash: u32, salt: u32) -> [u8; 2] {
     let mixed = hash::mix(u64::from(short_hash) << 32 | u64::from(salt));
     [mixed as u8, (mixed >> 8) as u8]
--- a/src/entry/peers/suspect_keepers.rs
+++ b/src/entry/peers/suspect_trackers.rs
@@ -1,4 +1,4 @@
-//! Which hosts count the first ends of servers under a request.
+//! Selects the hosts that track the first server crashes under a request.
 
 use std::net;
 
@@ -8,11 +8,11 @@
 use crate::timer::Moment;
 
 impl PeerTable {
-    /// Where the `count` hosts are that a request's fingerprint names: of those that live the first by a hash
-    /// of host and request (rendezvous hashing; Thaler and Ravishankar, 1998). Hosts that know the same others
-    /// name the same ones, but for the host that asks.
+    /// Addresses of the `count` hosts that track a fingerprint: the first live hosts by a hash of
+    /// host and fingerprint (rendezvous hashing; Thaler and Ravishankar, 1998). Hosts that know the
+    /// same peers select the same trackers, except that each leaves itself out.
     #[must_use]
-    pub fn suspect_keepers(
+    pub fn suspect_trackers(
         &self,
         fingerprint: RequestFingerprint,
         count: usize,
@@ -27,9 +27,9 @@
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Whether `own` is the first of them all.
+    /// Whether `own` ranks first among all live hosts for this fingerprint.
     #[must_use]
-    pub fn is_first_keeper(
+    pub fn is_first_tracker(
         &self,
         own: &HostRecord,
         fingerprint: RequestFingerprint,
@@ -42,8 +42,8 @@
 
     fn live_records(&self, now: Moment) -> impl Iterator<Item = &HostRecord> {
         let live = self.peers.values().filter(move |peer| {
-            let silent_ms = self.silent_ms(&peer.record.region);
-            peer.may_live(now, silent_ms) && !peer.leaving
+            let timeout_ms = self.timeout_ms(&peer.record.region);
+            peer.may_be_alive(now, timeout_ms) && !peer.leaving
         });
         live.map(|peer| &peer.record)
     }
--- a/src/entry/peers/watchers.rs
+++ b/src/entry/peers/watchers.rs
@@ -1,73 +1,74 @@
-//! Which hosts of a region watch the store.
+//! Selects the hosts of a region that watch the store.
 //!
-//! Every call of the store is paid for, so a few hosts of each region watch it and pass on what
-//! they see. All hosts put themselves into one order, and who comes first is a watcher: nobody is
-//! elected, and when one falls silent or loses the store the next takes over by itself.
+//! Each call of the store is paid for, so a few hosts of each region watch it and forward the
+//! changes. All hosts rank the hosts of their region in the same way, and the first ones watch.
+//! There is no election: when a watcher is no longer seen or cannot reach the store, the next host
+//! takes over.
 
 use std::{cmp, collections};
 
-use super::{HostRecord, PeerTable, REMOVE_MS};
+use super::{HostRecord, PeerTable, REMOVE_TIMEOUT_MS};
 use crate::entry::hash;
 use crate::entry::peer_message::WatchState;
 use crate::timer::Moment;
 
-/// Hosts of a region that watch the store. A second one sees what the first may miss.
-pub const WATCHERS: usize = 2;
-/// Hosts of a region that ask the store at most, however many of those before them cannot reach it:
-/// when the store is away for all, the others wait for word of these. When it turns away a third of
-/// the hosts, at least one of six is served with a probability of 0.998.
-const MOST_WATCHERS: usize = 6;
+/// Hosts of a region that watch the store. The second one covers changes that the first misses.
+pub const WATCHERS_PER_REGION: usize = 2;
+/// Maximum number of hosts of a region that call the store, however many hosts ranked before them
+/// cannot reach it. During an outage of the store, the others wait for updates from these. If the
+/// store refuses a third of the hosts, at least one of six is served with a probability of 0.998.
+const MAX_WATCHERS_PER_REGION: usize = 6;
 
 impl PeerTable {
-    /// Whether `own` is one of the hosts of its region that watch the store: fewer than
-    /// [`WATCHERS`] hosts come before it that live and do not say that the store is lost to them.
+    /// Whether `own` watches the store for its region: fewer than [`WATCHERS_PER_REGION`] hosts
+    /// rank before it that may be alive and do not report that they cannot reach the store.
     #[must_use]
     pub fn is_watcher(&self, own: &HostRecord, now: Moment) -> bool {
-        let silent_ms = self.silent_ms(&own.region);
-        let before = self.near(&own.region).filter(|peer| {
-            peer.record.watch_order() < own.watch_order()
-                && peer.may_live(now, silent_ms)
+        let timeout_ms = self.timeout_ms(&own.region);
+        let before = self.in_region(&own.region).filter(|peer| {
+            peer.record.watcher_rank() < own.watcher_rank()
+                && peer.may_be_alive(now, timeout_ms)
                 && !peer.leaving
         });
-        let (blind, sighted): (Vec<_>, Vec<_>) =
+        let (unable, able): (Vec<_>, Vec<_>) =
             before.partition(|peer| peer.watch == WatchState::Blind);
-        sighted.len() < WATCHERS && blind.len() + sighted.len() < MOST_WATCHERS
+        able.len() < WATCHERS_PER_REGION && unable.len() + able.len() < MAX_WATCHERS_PER_REGION
     }
 }
 
 impl PeerTable {
-    /// Whether `own` comes before all hosts of its region that live: it clears up for them.
+    /// Whether `own` ranks before all live hosts of its region and thus does the region's cleanup.
     #[must_use]
     pub fn is_first_watcher(&self, own: &HostRecord, now: Moment) -> bool {
         self.first_watcher(own, now).is_none()
     }
 
-    /// The first host of the region of `own` that lives; `None` if that is `own`.
+    /// The first live host by rank in the region of `own`; `None` if that is `own`.
     #[must_use]
     pub fn first_watcher(&self, own: &HostRecord, now: Moment) -> Option<&HostRecord> {
-        let silent_ms = self.silent_ms(&own.region);
+        let timeout_ms = self.timeout_ms(&own.region);
         let before = self.peers.values().filter(|peer| {
             peer.record.region == own.region
-                && peer.record.watch_order() < own.watch_order()
-                && peer.stays(now, silent_ms)
+                && peer.record.watcher_rank() < own.watcher_rank()
+                && peer.is_active(now, timeout_ms)
         });
         let records = before.map(|peer| &peer.record);
-        records.min_by_key(|record| record.watch_order())
+        records.min_by_key(|record| record.watcher_rank())
     }
 
-    /// The regions of which a host has lately been heard, but for `region`.
+    /// The regions except `region` that have a recently seen host.
     #[must_use]
     pub fn other_live_regions(&self, region: &str, now: Moment) -> collections::BTreeSet<&str> {
         let live = self.peers.values().filter(|peer| {
-            peer.record.region != region && peer.is_heard(now, REMOVE_MS) && !peer.leaving
+            peer.record.region != region && peer.is_alive(now, REMOVE_TIMEOUT_MS) && !peer.leaving
         });
         live.map(|peer| peer.record.region.as_str()).collect()
     }
 }
 
 impl HostRecord {
-    /// The order in which hosts of a region watch the store: the larger first, then by a hash.
-    pub(super) fn watch_order(&self) -> (cmp::Reverse<u32>, u64) {
+    /// The order in which hosts of a region watch the store: larger hosts first, then by name hash.
+    pub(super) fn watcher_rank(&self) -> (cmp::Reverse<u32>, u64) {
         (
             cmp::Reverse(self.processor_milli),
             hash::of_name(&self.name),
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -200,9 +200,9 @@
     /// does, provided that it knows the list of all hosts and is not leaving.
     fn may_probe(&self, fingerprint: RequestFingerprint, now: Moment) -> bool {
         let peers = self.peers.borrow();
-        peers.is_listed()
+        peers.is_membership_complete()
             && !self.is_leaving()
-            && peers.is_first_keeper(&self.record(), fingerprint, now)
+            && peers.is_first_tracker(&self.record(), fingerprint, now)
     }
 
     /// Returns whether a request is blocked.
@@ -238,7 +238,7 @@
         let listed = requests.iter().take(MAX_REQUESTS_PER_DATAGRAM);
         let listed: Vec<String> = listed.map(ToString::to_string).collect();
         let fields = json!({ "server": server.id, "count": requests.len(), "requests": listed });
-        self.note(EventCode::ServerEnded, fields);
+        self.log_event(EventCode::ServerEnded, fields);
         for chunk in requests.chunks(MAX_REQUESTS_PER_DATAGRAM) {
             let crash = ServerCrash {
                 server: server.hash,
@@ -315,7 +315,7 @@
             "servers_ended": record.crashed_servers.len(),
             "source": source,
         });
-        self.note(event, fields);
+        self.log_event(event, fields);
     }
 
     fn announce_records(&self, records: &[SuspectRecord]) {
@@ -341,7 +341,7 @@
         let now = self.now();
         let peers = self.peers.borrow();
         for fingerprint in requests {
-            for tracker in peers.suspect_keepers(*fingerprint, TRACKERS_PER_SUSPECT, now) {
+            for tracker in peers.suspect_trackers(*fingerprint, TRACKERS_PER_SUSPECT, now) {
                 by_tracker.entry(tracker).or_default().push(*fingerprint);
             }
         }
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -108,7 +108,7 @@
 
 fn log_unreadable<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject, reason: &str) {
     let fields = json!({ "object": object.name, "reason": reason });
-    host.note(EventCode::ObjectUnreadable, fields);
+    host.log_event(EventCode::ObjectUnreadable, fields);
 }
 
 impl<W: WireProtocol> EntryHost<W> {
@@ -125,7 +125,7 @@
         let now = self.now();
         let record = self.quarantine.blocked_record(fingerprint, now);
         let peers = self.peers.borrow();
-        let is_first = peers.is_first_keeper(&self.record(), fingerprint, now);
+        let is_first = peers.is_first_tracker(&self.record(), fingerprint, now);
         if let Some(record) = record.filter(|_| is_first) {
             self.quarantine.queue_store_task(StoreTask::Write(record));
         }
@@ -176,5 +176,5 @@
 
 fn log_fault<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
     let fields = json!({ "fault": fault.to_string() });
-    host.note(EventCode::QuarantineNotStored, fields);
+    host.log_event(EventCode::QuarantineNotStored, fields);
 }
--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -106,7 +106,7 @@
         for object in objects {
             if let ObjectContent::Unreadable(reason) = &object.content {
                 let fields = json!({ "object": object.name, "reason": reason });
-                self.note(EventCode::ObjectUnreadable, fields);
+                self.log_event(EventCode::ObjectUnreadable, fields);
             }
         }
     }
@@ -228,7 +228,7 @@
             "step": change.step,
             "state": change.state,
         });
-        self.note(EventCode::RolloutChanged, fields);
+        self.log_event(EventCode::RolloutChanged, fields);
     }
 
     /// Announces a change in the own region, and to the hosts that relay it in other regions.
@@ -290,5 +290,5 @@
 fn log_not_recorded<W: WireProtocol>(host: &EntryHost<W>, fault: &StoreFault) {
     // If another host has recorded the state, the watch delivers it.
     let fields = json!({ "fault": fault.to_string() });
-    host.note(EventCode::RolloutNotRecorded, fields);
+    host.log_event(EventCode::RolloutNotRecorded, fields);
 }
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -4,7 +4,7 @@
 
 use super::host::EntryHost;
 use super::packed_servers::PackedServers;
-use super::peer_message::{FleetNews, PeerHeartbeat, PeerSnapshot, RegionSize};
+use super::peer_message::{FleetUpdate, PeerHeartbeat, PeerSnapshot, RegionSize};
 use super::peers::HostRecord;
 use super::wire::WireProtocol;
 
@@ -25,7 +25,7 @@
             heartbeat_address,
             // The share of a core is checked to be small.
             processor_milli: (settings.processor_share * 1_000.0) as u32,
-            region_hosts: self.peers.borrow().told_region_size(&settings.region),
+            region_hosts: self.peers.borrow().reported_region_size(&settings.region),
         }
     }
 
@@ -35,7 +35,7 @@
         let evacuations = self.evacuations.borrow();
         let region = &self.settings().region;
         let peers = self.peers.borrow();
-        let heard = peers.heard_anywhere(region, self.now());
+        let peer_statuses = peers.recent_statuses_all_regions(region, self.now());
         let known_hosts = peers.known_count();
         let known_near = peers.region_size(region);
         drop(peers);
@@ -56,17 +56,17 @@
             rollouts: self.rollouts.to_update(self.now()),
             known_hosts,
             known_near,
-            heard,
+            peer_statuses,
         }
     }
 
     /// The changes of servers past the store's count `since`; `None` when this host does not know
     /// them any more.
     #[must_use]
-    pub fn fleet_news_since(&self, since: u64) -> Option<FleetNews> {
+    pub fn fleet_news_since(&self, since: u64) -> Option<FleetUpdate> {
         let fleet = self.fleet.borrow();
         let difference = fleet.changes_since(since, self.now())?;
-        Some(FleetNews {
+        Some(FleetUpdate {
             host: self.settings().name.clone(),
             since,
             until: fleet.revision(),
@@ -111,7 +111,7 @@
             evacuated: evacuations.stored().iter().cloned().collect(),
             evacuation_revision: evacuations.revision(),
             hosts,
-            hosts_listed: self.peers.borrow().is_listed(),
+            hosts_listed: self.peers.borrow().is_membership_complete(),
             suspects: self.quarantine.snapshot_records(self.now()),
             region_sizes: self.region_sizes(),
             rollouts: self.rollouts.to_update(self.now()),
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -11,7 +11,7 @@
 use super::limits::message::TokenVerdict;
 use super::limits::{LOCAL_ANSWER_TIMEOUT_MS, REMOTE_ANSWER_TIMEOUT_MS};
 use super::peer_message::PeerMessage;
-use super::peers::{KeeperPlace, KeeperQuery};
+use super::peers::{LimitOwner, LimitOwnerQuery};
 use super::pending_answers::PendingAnswers;
 use super::server_limit::message::{
     LimitUpdate, SendTokenAnswer, SendTokenRequest, ServerLimitMessage,
@@ -88,7 +88,7 @@
             "per_s": rate.map(RequestRate::per_s),
             "source": source,
         });
-        self.note(event, fields);
+        self.log_event(event, fields);
     }
 
     /// Acquires a token to send one request to `server`. If there is none, the server is skipped in
@@ -137,11 +137,12 @@
         update: LimitUpdate,
     ) -> Option<TokenVerdict> {
         match self.limit_owner_of(server) {
-            KeeperPlace::Own => Some(self.grant_send_token(server)),
-            KeeperPlace::Nowhere => None,
-            KeeperPlace::At { address, is_near } => {
+            LimitOwner::ThisHost => Some(self.grant_send_token(server)),
+            LimitOwner::Unknown => None,
+            LimitOwner::Peer { address, is_local } => {
                 self.server_limits.on_other_owner(server.start_hash);
-                self.request_send_token_from(address, is_near, update).await
+                self.request_send_token_from(address, is_local, update)
+                    .await
             }
         }
     }
@@ -149,7 +150,7 @@
     async fn request_send_token_from(
         &self,
         address: net::SocketAddr,
-        is_near: bool,
+        is_local: bool,
         update: LimitUpdate,
     ) -> Option<TokenVerdict> {
         let asked_at = self.now();
@@ -160,7 +161,7 @@
             reply_to: None,
         });
         gossip::send(self, &PeerMessage::ServerLimit(request), &[address]);
-        let wait_ms = if is_near {
+        let wait_ms = if is_local {
             LOCAL_ANSWER_TIMEOUT_MS
         } else {
             REMOTE_ANSWER_TIMEOUT_MS
@@ -176,16 +177,16 @@
         (!is_late).then_some(answer.verdict)
     }
 
-    fn limit_owner_of(&self, server: &FleetServer) -> KeeperPlace {
+    fn limit_owner_of(&self, server: &FleetServer) -> LimitOwner {
         let own = self.record();
         let peers = self.peers.borrow();
-        let query = KeeperQuery {
+        let query = LimitOwnerQuery {
             region: &server.region,
             server: server.start_hash,
             own: &own,
-            may_keep: !self.is_leaving(),
+            may_own: !self.is_leaving(),
         };
-        peers.limit_keeper(&query, self.now())
+        peers.limit_owner(&query, self.now())
     }
 
     /// Grants a token as the limit owner. A host that has not yet seen the other hosts of its
@@ -254,7 +255,7 @@
         let region = self.settings().region.clone();
         let targets = {
             let mut random = self.random.borrow_mut();
-            self.peers.borrow().word_targets(&region, &mut random)
+            self.peers.borrow().gossip_targets(&region, &mut random)
         };
         self.send_limit_updates(&updates, &targets);
     }
@@ -267,12 +268,12 @@
         let server = self.fleet.borrow().of_start(request.update.server);
         let owner = server
             .as_ref()
-            .map_or(KeeperPlace::Nowhere, |server| self.limit_owner_of(server));
+            .map_or(LimitOwner::Unknown, |server| self.limit_owner_of(server));
         let verdict = match (owner, &server) {
-            (KeeperPlace::Own, Some(server)) => self.grant_send_token(server),
-            (KeeperPlace::At { address, is_near }, _) => {
+            (LimitOwner::ThisHost, Some(server)) => self.grant_send_token(server),
+            (LimitOwner::Peer { address, is_local }, _) => {
                 self.server_limits.on_other_owner(request.update.server);
-                if is_near && request.reply_to.is_none() {
+                if is_local && request.reply_to.is_none() {
                     self.forward_token_request(request, source, address);
                     return;
                 }
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -22,17 +22,17 @@
     /// perhaps lost, and what this host has to write is written again.
     pub(super) fn on_store_position(&self, position: u64, source: &str) {
         let era = store_position::era_of(position);
-        let before = self.store_era.get();
+        let before = self.store_epoch.get();
         if era <= before {
             return;
         }
-        self.store_era.set(era);
+        self.store_epoch.set(era);
         // A host that has just started, or that never heard of eras, has lost nothing.
         if before == 0 {
             return;
         }
         let fields = json!({ "era": era, "before": before, "source": source });
-        self.note(EventCode::StoreEraBegan, fields);
+        self.log_event(EventCode::StoreEraBegan, fields);
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
         fleet.on_store_return(ReturnSight::InTime, position, now);
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -7,7 +7,7 @@
 use super::host::EntryHost;
 use super::host_gossip;
 use super::lapse_hold::MissingSource;
-use super::peer_message::{GoneHost, HostNews};
+use super::peer_message::{GoneHost, HostUpdate};
 use super::store::{ChangeBatch, ObjectContent, ObjectKind, StoredObject};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
@@ -39,7 +39,7 @@
                 _ => None,
             });
             let records: Vec<_> = records.collect();
-            host_gossip::learn_hosts(host, &records);
+            host_gossip::add_hosts(host, &records);
             host.peers.borrow_mut().on_entries(&records);
             look_for_own_entry(host, objects);
         }
@@ -51,13 +51,13 @@
 
 /// A store that came back from an older copy may have lost this host's entry, or shows it at another position.
 fn look_for_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
-    if host.own_entry.get().is_none() {
+    if host.own_entry_revision.get().is_none() {
         return;
     }
     let own_name = &host.settings().name;
     let own = objects.iter().find(|object| object.name == *own_name);
     match own {
-        Some(own) => host.own_entry.set(Some(own.revision)),
+        Some(own) => host.own_entry_revision.set(Some(own.revision)),
         None => host.on_own_entry_gone(host.run),
     }
 }
@@ -96,11 +96,11 @@
         contiguous: true,
     };
     host.on_server_changes(&batch.changes, span, MissingSource::Store, "store");
-    gossip::pass_on_fleet(host, since, batch.revision, &batch.changes);
+    gossip::send_fleet_update(host, since, batch.revision, &batch.changes);
 }
 
 fn on_hosts<W: WireProtocol>(host: &EntryHost<W>, batch: &ChangeBatch) {
-    let mut news = HostNews::default();
+    let mut news = HostUpdate::default();
     for change in &batch.changes {
         if change.deleted {
             let gone = gone_host(host, &change.object);
@@ -114,8 +114,8 @@
             news.joined.push(record.clone());
         }
     }
-    host_gossip::learn_hosts(host, &news.joined);
-    host_gossip::pass_on_hosts(host, news);
+    host_gossip::add_hosts(host, &news.joined);
+    host_gossip::send_host_update(host, news);
 }
 
 /// The run whose entry is gone: as the store tells, else the one that is known.
@@ -137,7 +137,7 @@
         ObjectContent::Configuration(configuration) => {
             host.install_configuration(configuration, "store");
         }
-        ObjectContent::Unreadable(reason) => host.note(
+        ObjectContent::Unreadable(reason) => host.log_event(
             EventCode::ConfigRejected,
             json!({ "object": object.name, "reason": reason }),
         ),
--- a/tests/entry_coordinators.rs
+++ b/tests/entry_coordinators.rs
@@ -8,7 +8,7 @@
 
 use ledgespool::entry::limits::GROUPS;
 use ledgespool::entry::peer_message::{PeerHeartbeat, WatchState};
-use ledgespool::entry::peers::{HostRecord, INDIRECT_SILENT_MS, PeerTable, SILENT_MS};
+use ledgespool::entry::peers::{HostRecord, INDIRECT_PEER_TIMEOUT_MS, PEER_TIMEOUT_MS, PeerTable};
 use ledgespool::timer::Moment;
 
 fn table(records: &[HostRecord]) -> PeerTable {
@@ -27,7 +27,7 @@
 }
 
 fn coordinators(peers: &PeerTable, own: Option<&HostRecord>, now: Moment) -> Vec<Option<String>> {
-    let coordinator = |group| peers.grantor_of("one", group, own, |_| false, now);
+    let coordinator = |group| peers.coordinator_of("one", group, own, |_| false, now);
     let found = (0..GROUPS as u64).map(coordinator);
     found.map(|place| place.map(|place| place.name)).collect()
 }
@@ -55,10 +55,10 @@
 fn silent_and_skipped_hosts_are_not_coordinators() {
     let all = hosts("one", 4, 500);
     let peers = table(&all);
-    let silent_ms = SILENT_MS.max(INDIRECT_SILENT_MS);
+    let silent_ms = PEER_TIMEOUT_MS.max(INDIRECT_PEER_TIMEOUT_MS);
     assert!(coordinators(&peers, None, Moment(silent_ms + 1))[0].is_none());
     let first = coordinators(&peers, None, Moment(0))[0].clone();
-    let next = peers.grantor_of(
+    let next = peers.coordinator_of(
         "one",
         0,
         None,
@@ -85,23 +85,26 @@
 fn starting_host_assumes_many_hosts_until_all_region_sizes_are_reported() {
     let mut peers = table(&hosts("one", 3, 100));
     let regions = || ["one", "two"].into_iter();
-    let assumed = peers.limit_hosts("one", regions());
+    let assumed = peers.limit_host_count("one", regions());
     assert!(assumed >= 470, "{assumed}");
     let reported = |region: &str, count: u32| HostRecord {
         region_hosts: count,
         ..peer_records::record(&format!("{region}-told"), "east", region, 100)
     };
     peers.on_record(&reported("one", 22), Moment(0));
-    assert!(peers.limit_hosts("one", regions()) >= 470, "one is missing");
+    assert!(
+        peers.limit_host_count("one", regions()) >= 470,
+        "one is missing"
+    );
     peers.on_record(&reported("two", 21), Moment(0));
-    assert_eq!(peers.limit_hosts("one", regions()), 43);
+    assert_eq!(peers.limit_host_count("one", regions()), 43);
 }
 
 #[test]
 fn reported_size_is_forwarded_only_while_starting() {
     let mut peers = table(&hosts("one", 3, 100));
     assert_eq!(
-        peers.told_region_size("one"),
+        peers.reported_region_size("one"),
         0,
         "few are known, and none reported"
     );
@@ -110,10 +113,10 @@
         ..peer_records::record("one-told", "east", "one", 100)
     };
     peers.on_record(&reported, Moment(0));
-    assert_eq!(peers.told_region_size("one"), 22);
-    peers.on_listed();
+    assert_eq!(peers.reported_region_size("one"), 22);
+    peers.on_membership_complete();
     assert_eq!(
-        peers.told_region_size("one"),
+        peers.reported_region_size("one"),
         5,
         "four that are known, and itself"
     );
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -275,11 +275,11 @@
         let mut first = Vec::new();
         for own in &all {
             let peers = table_without(own, &all, START);
-            let trackers = peers.suspect_keepers(request, TRACKERS_PER_SUSPECT, START);
+            let trackers = peers.suspect_trackers(request, TRACKERS_PER_SUSPECT, START);
             assert_eq!(trackers.len(), TRACKERS_PER_SUSPECT);
             // A tracker does not list itself, but the next host instead.
             listed.extend(trackers);
-            first.extend(peers.is_first_keeper(own, request, START).then_some(own));
+            first.extend(peers.is_first_tracker(own, request, START).then_some(own));
         }
         assert!(listed.len() <= TRACKERS_PER_SUSPECT + 1, "{listed:?}");
         assert_eq!(first.len(), 1, "exactly one host sends the probes");
@@ -294,10 +294,10 @@
     let long_after = START.plus(60_000);
     assert!(
         peers
-            .suspect_keepers(CRASHING, TRACKERS_PER_SUSPECT, long_after)
+            .suspect_trackers(CRASHING, TRACKERS_PER_SUSPECT, long_after)
             .is_empty()
     );
-    assert!(peers.is_first_keeper(&all[0], CRASHING, long_after));
+    assert!(peers.is_first_tracker(&all[0], CRASHING, long_after));
 }
 
 /// A whole hall may crash at once. A datagram larger than a frame is fragmented, and losing any
