--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,13 +1,14 @@
-//! Which backend server gets a request, or why none does.
+//! Selects the backend server for a request, or the reason why no server gets it.
 //!
-//! On sticky routes a server that has seen the request's object lately answers several times
-//! faster, so the object's key ranks the servers (weighted rendezvous hashing; Thaler and
-//! Ravishankar, 1998) and the first in that order with room gets the request. A full server is
-//! passed over, which bounds the load of each (consistent hashing with bounded loads; Mirrokni,
-//! Thorup and Zadimoghaddam, 2018). All hosts of a region rank alike without talking to each other.
+//! On sticky routes, a server that recently processed the request's object answers several times
+//! faster because it has the object cached. The object's key therefore ranks the servers (weighted
+//! rendezvous hashing; Thaler and Ravishankar, 1998), and the first server in that order with free
+//! capacity gets the request. Full servers are skipped, which bounds the load of each server
+//! (consistent hashing with bounded loads; Mirrokni, Thorup and Zadimoghaddam, 2018). All hosts of
+//! a region compute the same ranking without communicating.
 //!
-//! A request that would end past its aim everywhere is refused at once: it would take the place of
-//! one that can still be served in time.
+//! A request that every server would answer too late is refused at once, because it would take the
+//! place of a request that can still be served in time.
 
 use std::{collections, rc};
 
@@ -15,7 +16,7 @@
 use rand::seq::{IteratorRandom as _, index};
 
 use super::budget;
-use super::choice_refusal::{first_opening, refuse, refuse_until};
+use super::choice_refusal::{next_available_at, refuse, refuse_until};
 use super::fleet_server::FleetServer;
 use super::hash;
 use super::offer_record::ExpectedAnswer;
@@ -26,113 +27,116 @@
 use crate::rollout::plan::VersionRule;
 use crate::timer::Moment;
 
-/// Places in an object's rank that go by the weights of the regions: its requests run there as long
-/// as an answer comes in time.
-pub const HOME_PLACES: usize = 1;
-/// Places behind them that go by the whole service, so that a busy region's objects find room
-/// elsewhere. With three the alternatives met objects so seldom that they were first runs
-/// (docs/DECISIONS-UNDER-LOAD.md).
-pub const OPEN_PLACES: usize = 2;
-/// Servers that are compared on routes where objects do not matter.
-const DRAWN_SERVERS: usize = 4;
-/// What a first run on an object costs the requests behind it, as a multiple of its own length,
-/// when its server is compared with one that knows the object. A first run holds a slot several
-/// times as long as another, and those after it on the same object are late as well.
-const FIRST_RUN_BURDEN: f64 = 2.0;
-/// Servers in rank order that may get first runs on an object that will be late: enough that a
-/// busy object gets warm somewhere, few enough that first runs do not take the slots of others.
-const FIRST_RUN_DEPTH: usize = 2;
-/// Added to the rank of servers in other regions where answers should stay near; larger than any
+/// Number of top-ranked candidates selected by the regions' weights. An object's requests go to
+/// them as long as they answer in time.
+pub const HOME_CANDIDATES: usize = 1;
+/// Number of further candidates ranked over the whole service, so that a busy region's objects find
+/// free capacity elsewhere. With three, each alternative received an object so rarely that its
+/// requests were cache misses (docs/DECISIONS-UNDER-LOAD.md).
+pub const GLOBAL_CANDIDATES: usize = 2;
+/// Number of servers compared on routes where objects do not matter.
+const SAMPLED_SERVERS: usize = 4;
+/// Cost of a cache miss to the requests behind it, as a multiple of its own duration. It is added
+/// when a server without the object is compared with one that has it cached. A cache miss occupies
+/// a slot several times as long as a hit, and also delays later requests for the same object.
+const CACHE_MISS_COST_FACTOR: f64 = 2.0;
+/// Number of servers in rank order that may get a cache miss that will be late. It is large enough
+/// that some server caches a busy object, and small enough that cache misses do not take the slots
+/// of other requests.
+const LATE_CACHE_MISS_CANDIDATES: usize = 2;
+/// Added to the rank of servers in other regions where answers should stay local; larger than any
 /// rank that a server can have.
-const FAR_RANK: f64 = u32::MAX as f64;
-/// Servers that are drawn where objects do not matter, before all are looked through.
-const DRAW_TRIES: usize = 4 * DRAWN_SERVERS;
-/// A server slower than this multiple of what is usual gets no first runs on an object.
-const SLOW_PACE: f64 = 2.5;
-/// What is known of a request when a server is chosen.
+const REMOTE_RANK_PENALTY: f64 = u32::MAX as f64;
+/// Number of servers sampled where objects do not matter, before all servers are searched.
+const MAX_SAMPLE_TRIES: usize = 4 * SAMPLED_SERVERS;
+/// A server that is slower than typical by at least this factor gets no late cache misses.
+const SLOW_SERVER_FACTOR: f64 = 2.5;
+/// The inputs of the server selection for one request.
 #[derive(Debug)]
 pub struct ChoiceQuery<'a> {
-    /// The servers of its service.
+    /// The servers of the requested service.
     pub servers: &'a [rc::Rc<FleetServer>],
-    /// A hash of its object's key, on a sticky route.
+    /// Hash of the object's key, on a sticky route.
     pub object: Option<u64>,
     /// The region of this host.
     pub region: &'a str,
-    /// How far the regions are.
+    /// Round trip times to the regions.
     pub distances: &'a RegionDistances,
-    /// What the servers of each region weigh in the rank of an object.
+    /// Weights of each region's servers in the ranking of objects.
     pub weights: &'a RegionWeights,
-    /// The only regions that may serve it; empty for all.
+    /// The only regions that may serve the request; empty if all may.
     pub homes: &'a [String],
-    /// Halls that get no work.
+    /// Evacuated halls, whose servers get no requests.
     pub evacuated: &'a collections::BTreeSet<String>,
-    /// Identities of servers that it was offered to before.
+    /// Identities of servers that must not be tried again.
     pub tried: &'a [String],
-    /// The versions whose servers may get it.
+    /// The versions whose servers may get the request.
     pub versions: VersionRule,
-    /// Whether its bytes make distance dear.
+    /// Whether servers in this host's region are preferred, because the request transfers many
+    /// bytes.
     pub near: bool,
-    /// How long such a request usually takes, in milliseconds.
+    /// Typical time of such a request on a server that has its object cached, in milliseconds.
     pub usual_ms: f64,
-    /// How long it takes on a server that does not know its object, in milliseconds.
+    /// Typical time of such a request on a server that does not have its object cached, in
+    /// milliseconds.
     pub first_ms: f64,
-    /// How long an answer is still worth waiting for, in milliseconds.
+    /// Time left until the route's goal, in milliseconds; a later answer counts as too late.
     pub patience_ms: f64,
-    /// The most that a cold server may get of this host within a second.
+    /// This host's share of the requests that a cold server may get within a second.
     pub cold_share: budget::ColdShare,
-    /// How long a server that leaves serves on at least, in milliseconds.
+    /// How long a leaving server continues to serve at least, in milliseconds.
     pub leave_ms: u64,
-    /// What is known of the limits that servers name.
+    /// Limits that servers advertise, and their current state.
     pub limits: &'a ServerLimitTable,
-    /// The present.
+    /// The current time.
     pub now: Moment,
 }
 
 /// Why no server gets a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoServer {
-    /// None that may serve it takes work.
+    /// No server that may serve the request is available.
     NoneFit,
-    /// Each would answer too late.
+    /// Every server would answer too late.
     AllFull,
-    /// Each that may serve it has as many requests as it takes.
+    /// Every server that may serve the request has reached its limit or asked for a backoff.
     AllLimited,
 }
 
-/// A server that gets a request, and what is expected of it.
+/// The server selected for a request, with the expected answer.
 #[derive(Debug)]
 pub struct ChosenServer {
     /// The server.
     pub server: rc::Rc<FleetServer>,
-    /// What is expected.
+    /// The expected answer of this server.
     pub expected: ExpectedAnswer,
 }
 
-/// The outcome of a choice.
+/// The result of a server selection.
 #[derive(Debug)]
 pub enum ServerChoice {
-    /// Offer the request to this server.
+    /// Send the request to this server.
     Offer(ChosenServer),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse {
-        /// Why.
+        /// Why it is refused.
         reason: NoServer,
-        /// When coming back may help, in milliseconds.
+        /// When a retry may succeed, in milliseconds.
         come_back_ms: u64,
-        /// Free slots of the servers that were compared, as far as this host knows.
+        /// Free slots of the compared servers, as far as this host knows.
         free_slots: u32,
     },
 }
 
-/// Chooses a server.
+/// Selects a server for a request.
 pub fn choose(query: &ChoiceQuery<'_>, random: &mut SmallRng) -> ServerChoice {
-    let mut ranked = find(query, ServerStanding::Regular, random);
+    let mut ranked = find_candidates(query, ServerStanding::Regular, random);
     if ranked.is_empty() {
-        ranked = find(query, ServerStanding::LastResort, random);
+        ranked = find_candidates(query, ServerStanding::LastResort, random);
     }
     if ranked.is_empty() {
-        return match first_opening(query) {
-            Some(opens) => refuse_until(query, opens, random),
+        return match next_available_at(query) {
+            Some(available_at) => refuse_until(query, available_at, random),
             None => refuse(query, NoServer::NoneFit, 0, random),
         };
     }
@@ -140,40 +144,40 @@
         .into_iter()
         .enumerate()
         .map(|(place, server)| ChosenServer {
-            expected: expect(query, &server, place),
+            expected: estimate_answer(query, &server, place),
             server,
         })
         .collect();
-    match best_place(query, &candidates) {
+    match cheapest_candidate(query, &candidates) {
         Some(place) => ServerChoice::Offer(candidates.swap_remove(place)),
         None => refuse(query, NoServer::AllFull, free_slots(&candidates), random),
     }
 }
 
-/// The servers of this standing that are compared.
-fn find(
+/// The servers of this availability that are compared.
+fn find_candidates(
     query: &ChoiceQuery<'_>,
     standing: ServerStanding,
     random: &mut SmallRng,
 ) -> Vec<rc::Rc<FleetServer>> {
     match query.object {
         Some(object) => rank(query, object, standing),
-        None => draw(query, standing, random),
+        None => sample_servers(query, standing, random),
     }
 }
 
-/// Free slots of all candidates together, as far as this host knows.
+/// Total free slots of all candidates, as far as this host knows.
 fn free_slots(candidates: &[ChosenServer]) -> u32 {
     let free = candidates.iter().map(|candidate| {
         let free = f64::from(candidate.server.slots) - candidate.expected.load;
-        // At most the slots, and never below zero.
+        // Between zero and the number of slots.
         free.max(0.0) as u32
     });
     free.sum()
 }
 
-/// The candidate whose answer costs least; `None` if each would answer too late.
-fn best_place(query: &ChoiceQuery<'_>, candidates: &[ChosenServer]) -> Option<usize> {
+/// Index of the candidate with the lowest cost; `None` if every candidate would answer too late.
+fn cheapest_candidate(query: &ChoiceQuery<'_>, candidates: &[ChosenServer]) -> Option<usize> {
     let cheapest = candidates
         .iter()
         .map(|candidate| cost_ms(query, &candidate.expected))
@@ -184,19 +188,21 @@
     {
         return Some(place);
     }
-    // A first run on an object is let through also when it will be late: those after it are not.
-    let mut first_runs = candidates.iter().take(FIRST_RUN_DEPTH);
-    first_runs.position(|candidate| has_room(query, &candidate.server))
+    // A cache miss is allowed even if it will be late, because later requests for the same object
+    // will not be.
+    let mut first_runs = candidates.iter().take(LATE_CACHE_MISS_CANDIDATES);
+    first_runs.position(|candidate| has_capacity(query, &candidate.server))
 }
 
-fn fits(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerStanding) -> bool {
-    standing_for(query, server) == standing
+fn is_eligible(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerStanding) -> bool {
+    availability_for(query, server) == standing
         && query.limits.is_open(server.start_hash, query.now)
-        && fits_later(query, server)
+        && is_eligible_later(query, server)
 }
 
-/// A request that another server turned away is no trial for one that has just rested: it may be its last attempt.
-fn standing_for(query: &ChoiceQuery<'_>, server: &FleetServer) -> ServerStanding {
+/// A request that another server refused is not used as the probe of a server whose backoff has
+/// just ended, because this may be its last attempt.
+fn availability_for(query: &ChoiceQuery<'_>, server: &FleetServer) -> ServerStanding {
     let standing = server.standing(query.leave_ms, query.now);
     let is_repeat = !query.tried.is_empty();
     match standing {
@@ -207,8 +213,8 @@
     }
 }
 
-/// Whether it may get the request once its limit and its rest let it.
-pub(super) fn fits_later(query: &ChoiceQuery<'_>, server: &FleetServer) -> bool {
+/// Whether the server may get the request once its limit and its backoff allow it.
+pub(super) fn is_eligible_later(query: &ChoiceQuery<'_>, server: &FleetServer) -> bool {
     query.versions.allows(server.version)
         && !query.evacuated.contains(&*server.hall)
         && (query.homes.is_empty() || query.homes.iter().any(|home| **home == *server.region))
@@ -217,12 +223,13 @@
         && (!server.is_cold(query.now) || query.cold_share.allows(server, query.now))
 }
 
-/// The servers that may get an object's requests: first [`HOME_PLACES`] by the weights of their
-/// regions, then the first [`OPEN_PLACES`] of the whole service that are not among them.
+/// The servers that may get an object's requests: first [`HOME_CANDIDATES`] by the weights of their
+/// regions, then the first [`GLOBAL_CANDIDATES`] of the whole service that are not among them.
 ///
-/// Each server draws a number from 0 to 1 for the object; its rank is the negative logarithm over
-/// its weight, so that servers of more weight come first more often, in proportion. Slots are the
-/// weight; in the home places they are multiplied by the region's.
+/// Each server has a pseudorandom sample between 0 and 1 for the object. Its rank is the negative
+/// logarithm of the sample divided by the server's weight, so a server comes first with a
+/// probability proportional to its weight. The weight is the number of slots; for the home
+/// candidates it is multiplied by the region's weight.
 #[must_use]
 pub fn rank_by_object(query: &ChoiceQuery<'_>, object: u64) -> Vec<rc::Rc<FleetServer>> {
     rank(query, object, ServerStanding::Regular)
@@ -233,106 +240,111 @@
     object: u64,
     standing: ServerStanding,
 ) -> Vec<rc::Rc<FleetServer>> {
-    let most_slots = query.servers.iter().map(|server| server.slots).max();
-    let most_slots = f64::from(most_slots.unwrap_or(1));
-    let mut home = RankList::with_places(HOME_PLACES, most_slots * query.weights.largest());
-    // One of them may stand in the home places already.
-    let mut open = RankList::with_places(HOME_PLACES + OPEN_PLACES, most_slots);
+    let max_slots = query.servers.iter().map(|server| server.slots).max();
+    let max_slots = f64::from(max_slots.unwrap_or(1));
+    let mut home = RankList::with_length(HOME_CANDIDATES, max_slots * query.weights.largest());
+    // Longer by the home candidates, because they may appear in this list too.
+    let mut global = RankList::with_length(HOME_CANDIDATES + GLOBAL_CANDIDATES, max_slots);
     for server in query.servers {
-        let drawn = hash::uniform(object ^ server.hash);
-        if !(home.may_enter(drawn) || open.may_enter(drawn)) || !fits(query, server, standing) {
+        let sample = hash::uniform(object ^ server.hash);
+        if !(home.can_enter(sample) || global.can_enter(sample))
+            || !is_eligible(query, server, standing)
+        {
             continue;
         }
         let slots = f64::from(server.slots);
-        let far = query.near && *server.region != *query.region;
-        // A far server ranks behind every near one.
-        let behind = if far { FAR_RANK } else { 0.0 };
+        let is_remote = query.near && *server.region != *query.region;
+        // Remote servers rank behind all local ones.
+        let penalty = if is_remote { REMOTE_RANK_PENALTY } else { 0.0 };
         let weight = slots * query.weights.of(&server.region);
-        home.insert(-drawn.ln() / weight + behind, server);
-        open.insert(-drawn.ln() / slots + behind, server);
+        home.insert(-sample.ln() / weight + penalty, server);
+        global.insert(-sample.ln() / slots + penalty, server);
     }
     let is_home = |server: &FleetServer| home.best.iter().any(|(_, known)| known.id == server.id);
-    let others = open.best.iter().filter(|(_, server)| !is_home(server));
+    let others = global.best.iter().filter(|(_, server)| !is_home(server));
     home.best
         .iter()
-        .chain(others.take(OPEN_PLACES))
+        .chain(others.take(GLOBAL_CANDIDATES))
         .map(|(_, server)| rc::Rc::clone(server))
         .collect()
 }
 
-/// The servers of the lowest rank so far.
+/// The servers with the lowest ranks so far.
 #[derive(Debug)]
 struct RankList<'a> {
     best: Vec<(f64, &'a rc::Rc<FleetServer>)>,
-    places: usize,
-    /// No server weighs more.
-    most_weight: f64,
-    /// Who draws less does not get in, whatever it weighs.
-    least_drawn: f64,
+    length: usize,
+    /// Upper bound of the weight of any server.
+    max_weight: f64,
+    /// A server with a smaller sample cannot enter the list, whatever its weight is.
+    min_sample: f64,
 }
 
 impl<'a> RankList<'a> {
-    fn with_places(places: usize, most_weight: f64) -> Self {
+    fn with_length(length: usize, max_weight: f64) -> Self {
         Self {
-            best: Vec::with_capacity(places + 1),
-            places,
-            most_weight,
-            least_drawn: 0.0,
+            best: Vec::with_capacity(length + 1),
+            length,
+            max_weight,
+            min_sample: 0.0,
         }
     }
 
-    /// Most servers draw too low to be among the first: they need not be ranked.
-    fn may_enter(&self, drawn: f64) -> bool {
-        drawn >= self.least_drawn
+    /// Whether a server with this sample can enter the list. Most cannot, so their ranks need not
+    /// be computed.
+    fn can_enter(&self, sample: f64) -> bool {
+        sample >= self.min_sample
     }
 
     fn insert(&mut self, rank: f64, server: &'a rc::Rc<FleetServer>) {
         let place = self.best.partition_point(|(other, _)| *other <= rank);
-        if place >= self.places {
+        if place >= self.length {
             return;
         }
         self.best.insert(place, (rank, server));
-        self.best.truncate(self.places);
+        self.best.truncate(self.length);
         if let [.., (last, _)] = self.best[..]
-            && self.best.len() == self.places
+            && self.best.len() == self.length
         {
-            self.least_drawn = (-last * self.most_weight).exp();
+            self.min_sample = (-last * self.max_weight).exp();
         }
     }
 }
 
-/// A few at random, among which the earliest expected answer decides: two choices are nearly as
-/// good as all, and hosts do not all run to the same server (Mitzenmacher, 2001).
-fn draw(
+/// Samples a few servers at random; the one with the lowest expected cost is selected. Two choices
+/// are nearly as good as comparing all servers, and they prevent all hosts from selecting the same
+/// server (Mitzenmacher, 2001).
+fn sample_servers(
     query: &ChoiceQuery<'_>,
     standing: ServerStanding,
     random: &mut SmallRng,
 ) -> Vec<rc::Rc<FleetServer>> {
     let servers = query.servers;
-    let tries = servers.len().min(DRAW_TRIES);
-    let drawn: Vec<rc::Rc<FleetServer>> = index::sample(random, servers.len(), tries)
+    let tries = servers.len().min(MAX_SAMPLE_TRIES);
+    let sampled: Vec<rc::Rc<FleetServer>> = index::sample(random, servers.len(), tries)
         .iter()
-        .map(|place| &servers[place])
-        .filter(|server| fits(query, server, standing))
-        .take(DRAWN_SERVERS)
+        .map(|index| &servers[index])
+        .filter(|server| is_eligible(query, server, standing))
+        .take(SAMPLED_SERVERS)
         .cloned()
         .collect();
-    if drawn.len() == DRAWN_SERVERS || tries == servers.len() {
-        return drawn;
+    if sampled.len() == SAMPLED_SERVERS || tries == servers.len() {
+        return sampled;
     }
-    // Few fit, as when a region is cut off.
-    let fit = servers
+    // Only few servers are eligible, for example because a region is unreachable.
+    let eligible = servers
         .iter()
-        .filter(|server| fits(query, server, standing));
-    fit.cloned().choose_multiple(random, DRAWN_SERVERS)
+        .filter(|server| is_eligible(query, server, standing));
+    eligible.cloned().choose_multiple(random, SAMPLED_SERVERS)
 }
 
-/// What may be expected of a server: the wait for a slot, the work, the way. The first in rank is
-/// taken to know the object, since all hosts send it there.
-fn expect(query: &ChoiceQuery<'_>, server: &FleetServer, place: usize) -> ExpectedAnswer {
+/// Estimates a server's answer: the wait for a slot, the processing time and the round trip. The
+/// first server in rank is assumed to have the object cached, because all hosts send its requests
+/// there.
+fn estimate_answer(query: &ChoiceQuery<'_>, server: &FleetServer, place: usize) -> ExpectedAnswer {
     let slots = f64::from(server.slots);
     let load = server.expected_load(query.now);
-    let ahead = (load + 1.0 - slots).max(0.0);
+    let queued = (load + 1.0 - slots).max(0.0);
     let knows_object = place == 0
         || query
             .object
@@ -342,33 +354,34 @@
     } else {
         query.first_ms
     };
-    let multiple = server.pace(query.now);
+    let slowdown = server.pace(query.now);
     let way_ms = query.distances.way_ms(&server.region, query.region);
-    // The keeper of its limit stands in its region and is asked first.
+    // The owner of the server's limit is in the server's region and is asked for a token first,
+    // which takes one more round trip.
     let is_limited = query.limits.word_of(server.start_hash).is_some();
-    let ways = if is_limited { 2.0 } else { 1.0 };
+    let round_trips = if is_limited { 2.0 } else { 1.0 };
     ExpectedAnswer {
         place,
         knows_object,
         load,
         load_age_ms: server.told_age_ms(query.now),
-        wait_ms: query.usual_ms * multiple * ahead / slots,
-        work_ms: usual_ms * multiple,
-        way_ms: way_ms * ways,
+        wait_ms: query.usual_ms * slowdown * queued / slots,
+        work_ms: usual_ms * slowdown,
+        way_ms: way_ms * round_trips,
     }
 }
 
-/// What an answer costs its own caller and those behind it, in milliseconds.
+/// Cost of an answer to its own caller and to the requests behind it, in milliseconds.
 fn cost_ms(query: &ChoiceQuery<'_>, expected: &ExpectedAnswer) -> f64 {
-    let burden_ms = if expected.knows_object {
+    let miss_cost_ms = if expected.knows_object {
         0.0
     } else {
-        FIRST_RUN_BURDEN * query.first_ms
+        CACHE_MISS_COST_FACTOR * query.first_ms
     };
-    expected.total_ms() + burden_ms
+    expected.total_ms() + miss_cost_ms
 }
 
-fn has_room(query: &ChoiceQuery<'_>, server: &FleetServer) -> bool {
+fn has_capacity(query: &ChoiceQuery<'_>, server: &FleetServer) -> bool {
     server.expected_load(query.now) + 1.0 <= f64::from(server.slots)
-        && server.pace(query.now) < SLOW_PACE
+        && server.pace(query.now) < SLOW_SERVER_FACTOR
 }
--- a/src/entry/choice_refusal.rs
+++ b/src/entry/choice_refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller hears when no server gets its request: when coming back may help.
+//! Refusals of requests that no server takes, and when a retry may succeed.
 
 use rand::Rng as _;
 use rand::rngs::SmallRng;
@@ -6,21 +6,23 @@
 use super::choice::{self, ChoiceQuery, NoServer, ServerChoice};
 use crate::timer::Moment;
 
-/// Come-back times lie between these shares of the expected answer time, so that those who come
-/// back are spread out.
-const COME_BACK_SHARES: std::ops::Range<f64> = 0.5..1.5;
-/// The shortest come-back time, in milliseconds.
-const COME_BACK_MIN_MS: f64 = 50.0;
+/// Range of the retry-after time as a multiple of the typical answer time; the spread keeps refused
+/// callers from retrying at the same time.
+const RETRY_AFTER_FACTORS: std::ops::Range<f64> = 0.5..1.5;
+/// Minimum retry-after time, in milliseconds.
+const MIN_RETRY_AFTER_MS: f64 = 50.0;
 
-/// When the first server that is passed over for its limit or its rest may be expected to take a request again.
-pub(super) fn first_opening(query: &ChoiceQuery<'_>) -> Option<Moment> {
+/// The earliest time at which a server that was skipped because of its limit or its backoff may
+/// accept a request again.
+pub(super) fn next_available_at(query: &ChoiceQuery<'_>) -> Option<Moment> {
     let servers = query.servers.iter();
-    let held = servers.filter(|server| server.takes_work() && choice::fits_later(query, server));
-    let opens = held.filter_map(|server| {
+    let closed =
+        servers.filter(|server| server.takes_work() && choice::is_eligible_later(query, server));
+    let times = closed.filter_map(|server| {
         let limit = query.limits.opens_at(server.start_hash);
         limit.max(server.notice().rest_until())
     });
-    opens.min()
+    times.min()
 }
 
 /// Refuses a request that no server takes now.
@@ -30,28 +32,29 @@
     free_slots: u32,
     random: &mut SmallRng,
 ) -> ServerChoice {
-    let share = random.random_range(COME_BACK_SHARES);
-    let millis = (query.usual_ms * share).max(COME_BACK_MIN_MS);
+    let factor = random.random_range(RETRY_AFTER_FACTORS);
+    let millis = (query.usual_ms * factor).max(MIN_RETRY_AFTER_MS);
     ServerChoice::Refuse {
         reason,
-        // A float cast saturates, and the value is positive.
+        // The value is positive, and float casts saturate.
         come_back_ms: millis as u64,
         free_slots,
     }
 }
 
-/// Refuses a request that no server takes before `opens`; those that are refused together come back apart.
+/// Refuses a request that no server takes before `available_at`. The retry-after times are spread, so that
+/// callers refused together do not retry together.
 pub(super) fn refuse_until(
     query: &ChoiceQuery<'_>,
-    opens: Moment,
+    available_at: Moment,
     random: &mut SmallRng,
 ) -> ServerChoice {
-    let spread_ms = query.usual_ms * random.random_range(COME_BACK_SHARES);
-    let millis = opens.since(query.now) as f64 + spread_ms;
+    let spread_ms = query.usual_ms * random.random_range(RETRY_AFTER_FACTORS);
+    let millis = available_at.since(query.now) as f64 + spread_ms;
     ServerChoice::Refuse {
         reason: NoServer::AllLimited,
-        // A float cast saturates, and the value is positive.
-        come_back_ms: millis.max(COME_BACK_MIN_MS) as u64,
+        // The value is positive, and float casts saturate.
+        come_back_ms: millis.max(MIN_RETRY_AFTER_MS) as u64,
         free_slots: 0,
     }
 }
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -1,10 +1,10 @@
-//! Routes and the choice of a server.
+//! Tests of route lookup and server selection.
 
 use std::collections::BTreeSet;
 
 use ledgespool::entry::budget::ColdShare;
 use ledgespool::entry::choice::{
-    self, ChoiceQuery, HOME_PLACES, NoServer, OPEN_PLACES, ServerChoice,
+    self, ChoiceQuery, GLOBAL_CANDIDATES, HOME_CANDIDATES, NoServer, ServerChoice,
 };
 use ledgespool::entry::configuration::{
     CallerLimits, RequestKind, RouteRule, RouteTable, ServiceConfiguration, ServiceShare,
@@ -102,7 +102,7 @@
     fleet
 }
 
-struct Asked<'a> {
+struct QueryInput<'a> {
     distances: &'a RegionDistances,
     weights: &'a RegionWeights,
     fleet: &'a Fleet,
@@ -113,17 +113,17 @@
     limits: &'a ServerLimitTable,
 }
 
-fn query<'a>(asked: &Asked<'a>) -> ChoiceQuery<'a> {
+fn query<'a>(input: &QueryInput<'a>) -> ChoiceQuery<'a> {
     ChoiceQuery {
-        servers: asked.fleet.of_service("desk"),
-        object: asked.object,
+        servers: input.fleet.of_service("desk"),
+        object: input.object,
         region: "one",
-        distances: asked.distances,
-        weights: asked.weights,
-        homes: asked.homes,
-        evacuated: asked.evacuated,
+        distances: input.distances,
+        weights: input.weights,
+        homes: input.homes,
+        evacuated: input.evacuated,
         versions: VersionRule::Any,
-        tried: asked.tried,
+        tried: input.tried,
         near: false,
         usual_ms: 100.0,
         first_ms: 300.0,
@@ -135,28 +135,28 @@
             other_hashes: None,
         },
         leave_ms: 2_000,
-        limits: asked.limits,
+        limits: input.limits,
         now: Moment(0),
     }
 }
 
-fn choose(asked: &Asked<'_>) -> ServerChoice {
-    choice::choose(&query(asked), &mut SmallRng::seed_from_u64(5))
+fn choose(input: &QueryInput<'_>) -> ServerChoice {
+    choice::choose(&query(input), &mut SmallRng::seed_from_u64(5))
 }
 
-/// The plain version of the rank: every server's, sorted.
-fn plain_rank(query: &ChoiceQuery<'_>, object: u64) -> Vec<String> {
-    let home = plain_order(query, object, |region| query.weights.of(region));
-    let open = plain_order(query, object, |_region| 1.0);
-    let mut ranked: Vec<String> = home.into_iter().take(HOME_PLACES).collect();
+/// Reference implementation of the ranking: ranks all servers and sorts them.
+fn reference_rank(query: &ChoiceQuery<'_>, object: u64) -> Vec<String> {
+    let home = reference_order(query, object, |region| query.weights.of(region));
+    let open = reference_order(query, object, |_region| 1.0);
+    let mut ranked: Vec<String> = home.into_iter().take(HOME_CANDIDATES).collect();
     let others = open.into_iter().filter(|id| !ranked.contains(id));
-    let others: Vec<String> = others.take(OPEN_PLACES).collect();
+    let others: Vec<String> = others.take(GLOBAL_CANDIDATES).collect();
     ranked.extend(others);
     ranked
 }
 
-/// All servers in the order of their ranks.
-fn plain_order(
+/// All servers sorted by rank.
+fn reference_order(
     query: &ChoiceQuery<'_>,
     object: u64,
     weight_of: impl Fn(&str) -> f64,
@@ -167,12 +167,12 @@
         .filter(|server| !query.evacuated.contains(&*server.hall))
         .filter(|server| !query.tried.iter().any(|id| **id == *server.id))
         .map(|server| {
-            let drawn = hash::mix(object ^ server.hash) >> 11;
-            let drawn = (drawn as f64 + 1.0) / (1_u64 << 53) as f64;
-            let far = query.near && *server.region != *query.region;
+            let sample = hash::mix(object ^ server.hash) >> 11;
+            let sample = (sample as f64 + 1.0) / (1_u64 << 53) as f64;
+            let is_remote = query.near && *server.region != *query.region;
             (
-                far,
-                -drawn.ln() / (f64::from(server.slots) * weight_of(&server.region)),
+                is_remote,
+                -sample.ln() / (f64::from(server.slots) * weight_of(&server.region)),
                 server.id.to_string(),
             )
         })
@@ -181,8 +181,8 @@
     ranks.into_iter().map(|(_, _, id)| id).collect()
 }
 
-fn chosen(asked: &Asked<'_>) -> Option<String> {
-    match choose(asked) {
+fn chosen(input: &QueryInput<'_>) -> Option<String> {
+    match choose(input) {
         ServerChoice::Offer(chosen) => Some(chosen.server.id.to_string()),
         ServerChoice::Refuse { .. } => None,
     }
@@ -215,7 +215,7 @@
 fn an_object_keeps_its_server_and_moves_on_only_when_it_is_full() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
-    let asked = Asked {
+    let input = QueryInput {
         distances: &RegionDistances::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
@@ -225,8 +225,8 @@
         tried: &[],
         limits: &ServerLimitTable::default(),
     };
-    let first = chosen(&asked).expect("a server");
-    assert_eq!(chosen(&asked).as_deref(), Some(first.as_str()));
+    let first = chosen(&input).expect("a server");
+    assert_eq!(chosen(&input).as_deref(), Some(first.as_str()));
     let server = fleet
         .of_service("desk")
         .iter()
@@ -240,16 +240,16 @@
         },
         Moment(0),
     );
-    assert_ne!(chosen(&asked).as_deref(), Some(first.as_str()));
+    assert_ne!(chosen(&input).as_deref(), Some(first.as_str()));
 }
 
-/// A first run costs those behind it: a server that knows the object is preferred to an idle one
-/// that does not, as long as its answer comes in time.
+/// A cache miss delays the requests behind it. A server that has the object cached is therefore
+/// preferred to an idle one that does not, as long as its answer is in time.
 #[test]
 fn a_short_wait_at_a_server_that_knows_the_object_beats_a_first_run() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
-    let asked = Asked {
+    let input = QueryInput {
         distances: &RegionDistances::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
@@ -259,13 +259,13 @@
         tried: &[],
         limits: &ServerLimitTable::default(),
     };
-    let first = chosen(&asked).expect("a server");
+    let first = chosen(&input).expect("a server");
     let server = fleet
         .of_service("desk")
         .iter()
         .find(|server| *server.id == *first);
-    // Four requests ahead of three slots: 133 ms of wait and 100 of work, against 300 of a first
-    // run on an idle server.
+    // Four requests ahead of three slots: 133 ms of waiting and 100 ms of processing, against 300
+    // ms for a cache miss on an idle server.
     let load = ServerLoad {
         running: 3,
         waiting: 3,
@@ -275,7 +275,7 @@
     let patient = ChoiceQuery {
         patience_ms: 500.0,
         first_ms: 200.0,
-        ..query(&asked)
+        ..query(&input)
     };
     match choice::choose(&patient, &mut SmallRng::seed_from_u64(5)) {
         ServerChoice::Offer(chosen) => assert_eq!(*chosen.server.id, *first),
@@ -291,7 +291,8 @@
     }
 }
 
-/// With weights, a region's objects stay on its own servers; the places behind the first do not.
+/// With region weights, a region's objects stay on its own servers; the candidates after the first
+/// may be elsewhere.
 #[test]
 fn a_region_with_room_keeps_its_objects_and_has_alternatives_elsewhere() {
     let fleet = fleet(24);
@@ -299,7 +300,7 @@
     let weights = RegionWeights::for_region("one", &[room("one", 3, 36), room("two", 3, 36)]);
     let mut elsewhere = 0;
     for object in 0..200 {
-        let asked = Asked {
+        let input = QueryInput {
             distances: &RegionDistances::default(),
             weights: &weights,
             fleet: &fleet,
@@ -309,11 +310,11 @@
             tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        let ranked = choice::rank_by_object(&query(&asked), object);
+        let ranked = choice::rank_by_object(&query(&input), object);
         let regions: Vec<&str> = ranked.iter().map(|server| &*server.region).collect();
-        // A weight of 0.02 is left to the other region.
+        // The other region has the minimum weight of 0.02.
         elsewhere += usize::from(regions[0] != "one");
-        assert_eq!(ranked.len(), HOME_PLACES + OPEN_PLACES);
+        assert_eq!(ranked.len(), HOME_CANDIDATES + GLOBAL_CANDIDATES);
     }
     assert!(elsewhere <= 10, "{elsewhere} of 200");
 }
@@ -335,7 +336,7 @@
     let none = BTreeSet::new();
     let home = ["two".to_owned()];
     for object in 0..200 {
-        let asked = Asked {
+        let input = QueryInput {
             distances: &RegionDistances::default(),
             weights: &RegionWeights::default(),
             fleet: &fleet,
@@ -345,7 +346,7 @@
             tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        let id = chosen(&asked).expect("a server");
+        let id = chosen(&input).expect("a server");
         let server = fleet
             .of_service("desk")
             .iter()
@@ -353,7 +354,7 @@
         assert_eq!(server.map(|server| &*server.region), Some("two"));
     }
     let both: BTreeSet<String> = ["east".to_owned(), "west".to_owned()].into();
-    let asked = Asked {
+    let input = QueryInput {
         distances: &RegionDistances::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
@@ -364,13 +365,13 @@
         limits: &ServerLimitTable::default(),
     };
     assert!(matches!(
-        choose(&asked),
+        choose(&input),
         ServerChoice::Refuse {
             reason: NoServer::NoneFit,
             ..
         }
     ));
-    let asked = Asked {
+    let input = QueryInput {
         distances: &RegionDistances::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
@@ -380,12 +381,12 @@
         tried: &[],
         limits: &ServerLimitTable::default(),
     };
-    let first = [chosen(&asked).expect("a server")];
-    let asked = Asked {
+    let first = [chosen(&input).expect("a server")];
+    let input = QueryInput {
         tried: &first,
-        ..asked
+        ..input
     };
-    assert_ne!(chosen(&asked).as_deref(), Some(first[0].as_str()));
+    assert_ne!(chosen(&input).as_deref(), Some(first[0].as_str()));
 }
 
 #[test]
@@ -403,7 +404,7 @@
     }
     let none = BTreeSet::new();
     for object in [Some(3), None] {
-        let asked = Asked {
+        let input = QueryInput {
             distances: &RegionDistances::default(),
             weights: &RegionWeights::default(),
             fleet: &fleet,
@@ -413,7 +414,7 @@
             tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        match choose(&asked) {
+        match choose(&input) {
             ServerChoice::Refuse {
                 reason,
                 come_back_ms,
@@ -434,12 +435,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// An object moves only if its own server leaves, and then to its next in rank.
+    /// An object moves only if its own server leaves, and then to the next server in rank.
     #[test]
     fn other_servers_coming_and_going_moves_no_object(object in any::<u64>(), gone in 0_usize..24) {
         let whole = fleet(24);
         let none = BTreeSet::new();
-        let asked = Asked {
+        let input = QueryInput {
             distances: &RegionDistances::default(),
             weights: &RegionWeights::default(),
             fleet: &whole,
@@ -449,15 +450,15 @@
                 tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        let first = chosen(&asked).expect("a server");
-        let leaver = [format!("i-{gone:03}")];
-        let after = chosen(&Asked { tried: &leaver, ..asked }).expect("a server");
-        if leaver[0] != first {
+        let first = chosen(&input).expect("a server");
+        let leaving = [format!("i-{gone:03}")];
+        let after = chosen(&QueryInput { tried: &leaving, ..input }).expect("a server");
+        if leaving[0] != first {
             prop_assert_eq!(after, first);
         }
     }
 
-    /// The servers that are passed over unranked would not have been among the first.
+    /// The servers that are skipped without computing their ranks would not be among the first.
     #[test]
     fn the_first_in_rank_are_those_of_the_plain_version(
         object in any::<u64>(),
@@ -471,7 +472,7 @@
         let weights = RegionWeights::for_region("one", &[room("one", hosts.0, 30), room("two", hosts.1, 60)]);
         let evacuated: BTreeSet<String> = evacuate.then(|| "west".to_owned()).into_iter().collect();
         let tried = [format!("i-{tried:03}")];
-        let asked = Asked {
+        let input = QueryInput {
             distances: &RegionDistances::default(),
             weights: &weights,
             fleet: &whole,
@@ -481,14 +482,14 @@
                 tried: &tried,
             limits: &ServerLimitTable::default(),
         };
-        let query = ChoiceQuery { near, ..query(&asked) };
+        let query = ChoiceQuery { near, ..query(&input) };
         let ranked = choice::rank_by_object(&query, object);
         let ranked: Vec<String> = ranked.iter().map(|server| server.id.to_string()).collect();
-        prop_assert_eq!(ranked, plain_rank(&query, object));
+        prop_assert_eq!(ranked, reference_rank(&query, object));
     }
 
-    /// Every region's servers get the same share of their slots, and own objects go far only for want
-    /// of room.
+    /// The servers of every region get the same share of their slots, and objects leave their
+    /// region only if its capacity is too small.
     #[test]
     fn regions_are_equally_busy(hosts in proptest::collection::vec(1_u32..30, 3), slots in proptest::collection::vec(1_u32..90, 3)) {
         let names = ["a", "b", "c"];
@@ -510,20 +511,20 @@
         }
         for at in 0..3 {
             let supply = f64::from(slots[at]) / all_slots;
-            // The least weight adds up to 0.02 from each of two other regions.
+            // The minimum weight adds up to 0.02 from each of two other regions.
             prop_assert!((work[at] / supply - 1.0).abs() < 0.041, "{} of {}", work[at], supply);
         }
     }
 
-    /// The plain version of the choice on idle servers: the lowest of all ranks. Compared by
-    /// leaving out what was chosen before: that gives the same order as a full sort would.
+    /// On idle servers the one with the lowest rank is selected. Excluding each selected server in
+    /// turn must give every server exactly once, as sorting by rank does.
     #[test]
     fn servers_are_tried_in_one_order(object in any::<u64>()) {
         let whole = fleet(9);
         let none = BTreeSet::new();
         let mut tried: Vec<String> = Vec::new();
         for _ in 0..9 {
-            let asked = Asked {
+            let input = QueryInput {
                 distances: &RegionDistances::default(),
             weights: &RegionWeights::default(),
             fleet: &whole,
@@ -533,15 +534,16 @@
                         tried: &tried,
                 limits: &ServerLimitTable::default(),
             };
-            let next = chosen(&asked).expect("a server");
+            let next = chosen(&input).expect("a server");
             prop_assert!(!tried.contains(&next));
             tried.push(next);
         }
-        prop_assert!(tried.len() >= HOME_PLACES + OPEN_PLACES);
+        prop_assert!(tried.len() >= HOME_CANDIDATES + GLOBAL_CANDIDATES);
     }
 }
 
-/// A server at its limit is passed over, and who finds none other hears when one may take a request.
+/// A server at its limit is skipped; if every server is, the retry-after time is when the first one
+/// may accept a request.
 #[test]
 fn a_server_without_rights_is_passed_over_until_one_may_be_had() {
     let fleet = fleet(2);
@@ -553,7 +555,7 @@
         limits.on_answer(server.start_hash, limit, None, true, Moment(0));
     }
     limits.on_denied(servers[0].start_hash, 700, Moment(0));
-    let asked = Asked {
+    let input = QueryInput {
         distances: &RegionDistances::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
@@ -563,17 +565,17 @@
         tried: &[],
         limits: &limits,
     };
-    assert_eq!(chosen(&asked).expect("a server"), servers[1].id.to_string());
+    assert_eq!(chosen(&input).expect("a server"), servers[1].id.to_string());
     let mut both = ServerLimitTable::default();
     for (server, wait_ms) in servers.iter().zip([700, 400]) {
         both.on_answer(server.start_hash, limit, None, true, Moment(0));
         both.on_denied(server.start_hash, wait_ms, Moment(0));
     }
-    let refused = choose(&Asked {
+    let refused = choose(&QueryInput {
         limits: &both,
-        ..asked
+        ..input
     });
-    // 50 to 150 ms more, so that those that were refused together come back apart.
+    // 50 to 150 ms more, so that requests refused together are not retried together.
     assert!(matches!(
         refused,
         ServerChoice::Refuse {
