--- a/src/entry/budget.rs
+++ b/src/entry/budget.rs
@@ -1,8 +1,8 @@
-//! Limits that all hosts keep together without talking: each host stays within its own part.
+//! Limits shared by all hosts without coordination: each host stays within its own share.
 //!
-//! The parts are disjoint and their sum stays below the limit, so a host that is cut off from the
-//! others keeps it as well. The number of hosts only grows quickly and shrinks slowly; counting
-//! too many makes a part smaller, which is safe.
+//! The shares are disjoint and their sum stays below the limit, so a host that is disconnected from
+//! the others respects the limit too. The number of hosts grows quickly and shrinks slowly; an
+//! overestimate makes a share smaller, which is safe.
 
 use std::{collections, rc};
 
@@ -10,35 +10,36 @@
 use super::hash;
 use crate::timer::Moment;
 
-/// Of a shared limit, the part that the hosts plan with; the rest covers requests that are counted
-/// later than they were sent.
-const PLANNED_SHARE: f64 = 0.8;
-/// Requests on their way bunch up, so a second is counted a little longer; in milliseconds.
+/// The fraction of a shared limit that the hosts plan with; the rest covers requests that are
+/// counted later than they were sent.
+const PLANNED_FRACTION: f64 = 0.8;
+/// Length of the window in which requests to a cold server are counted, in milliseconds. It is
+/// longer than the second that the limit applies to, because requests can bunch up on their way.
 const COLD_WINDOW_MS: u64 = 1_150;
-/// The retry window is counted in this many steps.
+/// Number of steps that the retry window is divided into.
 const RETRY_STEPS: u64 = 20;
 
-/// What one host may send to a cold server.
+/// The share of one host in the requests to a cold server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ColdShare {
-    /// Requests within a second that all hosts may send together.
+    /// Requests that all hosts together may send within a second.
     pub all_per_s: f64,
-    /// Hosts that share them, if more than are listed below.
+    /// Number of hosts that share the limit; may exceed the number of listed hashes.
     pub hosts: u32,
-    /// A hash of this host's name.
+    /// Hash of this host's name.
     pub own_hash: u64,
-    /// Hashes of the names of all others; `None` until the whole list of hosts was read.
+    /// Hashes of all other hosts' names; `None` until the complete list of hosts is known.
     pub other_hashes: Option<rc::Rc<[u64]>>,
 }
 
 impl ColdShare {
-    /// Whether one more request may go to `server`, which is cold.
+    /// Whether one more request may be sent to the cold server `server`.
     ///
-    /// With more hosts than requests, only as many hosts as there are requests send one each: the
-    /// first by a hash of host and server.
+    /// If there are more hosts than allowed requests, only as many hosts as there are requests send
+    /// one each. They are selected by a hash of host and server.
     #[must_use]
     pub fn allows(&self, server: &FleetServer, now: Moment) -> bool {
-        let planned = self.all_per_s * PLANNED_SHARE;
+        let planned = self.all_per_s * PLANNED_FRACTION;
         let own = planned / f64::from(self.hosts.max(1));
         let sent = server.cold_sends(now, COLD_WINDOW_MS) as f64;
         if own >= 1.0 {
@@ -47,10 +48,10 @@
         let Some(others) = &self.other_hashes else {
             return false;
         };
-        let place = |hash: u64| hash::mix(hash ^ server.hash);
-        let own_place = place(self.own_hash);
-        let before = others.iter().filter(|hash| place(**hash) < own_place);
-        sent < 1.0 && (before.count() as f64) < planned.floor()
+        let order = |hash: u64| hash::mix(hash ^ server.hash);
+        let own_order = order(self.own_hash);
+        let hosts_before = others.iter().filter(|hash| order(**hash) < own_order);
+        sent < 1.0 && (hosts_before.count() as f64) < planned.floor()
     }
 }
 
@@ -62,21 +63,21 @@
     repeats: u64,
 }
 
-/// Counts the requests to a service and those sent again, over a sliding window.
+/// Counts the requests to a service and their retries, over a sliding window.
 #[derive(Debug)]
 pub struct RetryWindow {
     step_ms: u64,
     steps: collections::VecDeque<RetryStep>,
 }
 
-/// What one host may send again, beside what it sends.
+/// The retries that one host may send in addition to its requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryShare {
-    /// Repeats for each request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Repeats in a window that all hosts may send beside.
+    /// Additional retries that all hosts together may send within a window.
     pub slack: f64,
-    /// Hosts that share the slack.
+    /// Number of hosts that share the slack.
     pub hosts: u32,
 }
 
@@ -91,12 +92,12 @@
         }
     }
 
-    /// A request was offered for the first time.
+    /// Counts the first attempt to send a request.
     pub fn on_request(&mut self, now: Moment) {
         self.step(now).requests += 1;
     }
 
-    /// Takes one repeat if the share allows it.
+    /// Counts one retry if the share allows it; returns whether it does.
     ///
     /// ```
     /// use ledgespool::entry::budget;
@@ -114,7 +115,7 @@
         let requests: u64 = self.steps.iter().map(|step| step.requests).sum();
         let repeats: u64 = self.steps.iter().map(|step| step.repeats).sum();
         let slack = share.slack / f64::from(share.hosts.max(1));
-        let allowed = (requests as f64 * share.ratio + slack) * PLANNED_SHARE;
+        let allowed = (requests as f64 * share.ratio + slack) * PLANNED_FRACTION;
         if repeats as f64 + 1.0 > allowed {
             return false;
         }
--- a/src/entry/host_budget.rs
+++ b/src/entry/host_budget.rs
@@ -1,4 +1,4 @@
-//! A host's own parts of the [budgets](super::budget) that all hosts share.
+//! This host's own shares of the [budgets](super::budget) that all hosts share.
 
 use super::budget::{ColdShare, RetryShare, RetryWindow};
 use super::hash;
@@ -6,7 +6,7 @@
 use super::wire::WireProtocol;
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// The part of a cold server's limit that is this host's.
+    /// This host's share of the limit of a cold server.
     #[must_use]
     pub fn cold_share(&self, cold_per_s: f64) -> ColdShare {
         let settings = self.settings();
@@ -18,13 +18,13 @@
         }
     }
 
-    /// A request was offered to a server of `service` for the first time.
+    /// Counts the first attempt to send a request to `service`.
     pub fn on_first_offer(&self, service: &str) {
         let now = self.now();
         self.with_retries(service, |window| window.on_request(now));
     }
 
-    /// Takes one repeat from the budget of `service`.
+    /// Takes one retry from the budget of `service`; returns whether it is allowed.
     pub fn try_repeat(&self, service: &str) -> bool {
         let share = self.retry_share();
         let now = self.now();
