--- a/src/entry/region_distance.rs
+++ b/src/entry/region_distance.rs
@@ -1,31 +1,32 @@
-//! How far the regions are from this host, measured by how long connections take to come up.
+//! Round trip times to the regions, estimated from the time that connections take to establish.
 
 use std::{collections, time};
 
-/// A connection that has not come up by then is given up, and the server with it for now, as long
-/// as nothing is known of its region. Several times two ways between the farthest regions.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(700);
-/// Once connections to a region have come up, the limit is this multiple of how long they take:
-/// enough for a server that is slow to accept.
-const CONNECT_FACTOR: f64 = 4.0;
-/// The least such limit: a busy host looks at its sockets late.
-const LEAST_CONNECT_LIMIT: time::Duration = time::Duration::from_millis(250);
-/// Weight of a connection that came up faster than those before; a share. A slower one counts
-/// whole, so that the limit is soon long enough.
-const FASTER_WEIGHT: f64 = 0.05;
-/// Assumed from one region to another and back until a connection has come up, in milliseconds:
-/// two ways of a typical 20 ms.
-const OTHER_REGION_MS: f64 = 40.0;
+/// Connect timeout of regions to which no connection has been established yet, and the upper bound
+/// of all others. When it expires, the server is ejected. It is several times the round trip
+/// between the most distant regions.
+const MAX_CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(700);
+/// The timeout of a region with a known connect time is this multiple of it, which leaves enough
+/// time for a server that is slow to accept.
+const CONNECT_TIMEOUT_FACTOR: f64 = 4.0;
+/// Minimum connect timeout, because a busy host polls its sockets late.
+const MIN_CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(250);
+/// Weight of a connection that was established faster than the estimate. A slower connection
+/// replaces the estimate, so that the timeout is soon long enough.
+const DECREASE_WEIGHT: f64 = 0.05;
+/// Assumed round trip to another region until a connection has been established, in milliseconds:
+/// twice a typical one-way latency of 20 ms.
+const DEFAULT_REMOTE_RTT_MS: f64 = 40.0;
 
-/// What a host has measured.
+/// The connect times that a host has measured.
 #[derive(Debug, Default)]
 pub struct RegionDistances {
-    /// How long connections to each region take to come up, in milliseconds.
+    /// Estimated time that a connection to each region takes to establish, in milliseconds.
     connect_ms: collections::HashMap<String, f64>,
 }
 
 impl RegionDistances {
-    /// How long to wait for a connection to a server of `region`.
+    /// Timeout for connecting to a server of `region`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -37,26 +38,27 @@
     /// ```
     #[must_use]
     pub fn connect_limit(&self, region: &str) -> time::Duration {
-        let Some(usual_ms) = self.connect_ms.get(region) else {
-            return CONNECT_LIMIT;
+        let Some(known_ms) = self.connect_ms.get(region) else {
+            return MAX_CONNECT_TIMEOUT;
         };
-        let limit = time::Duration::from_secs_f64(usual_ms * CONNECT_FACTOR / 1_000.0);
-        limit.clamp(LEAST_CONNECT_LIMIT, CONNECT_LIMIT)
+        let timeout = time::Duration::from_secs_f64(known_ms * CONNECT_TIMEOUT_FACTOR / 1_000.0);
+        timeout.clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
     }
 
-    /// A connection to a server of `region` came up after `took`.
+    /// A connection to a server of `region` was established after `took`.
     pub fn on_connected(&mut self, region: &str, took: time::Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         match self.connect_ms.get_mut(region) {
             None => {
                 self.connect_ms.insert(region.to_owned(), took_ms);
             }
-            Some(usual_ms) if took_ms > *usual_ms => *usual_ms = took_ms,
-            Some(usual_ms) => *usual_ms += FASTER_WEIGHT * (took_ms - *usual_ms),
+            Some(known_ms) if took_ms > *known_ms => *known_ms = took_ms,
+            Some(known_ms) => *known_ms += DECREASE_WEIGHT * (took_ms - *known_ms),
         }
     }
 
-    /// The way to a server of `region` and back, in milliseconds, for a host in `own_region`.
+    /// The estimated round trip time from a host in `own_region` to a server of `region`, in
+    /// milliseconds.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,11 +70,11 @@
     /// ```
     #[must_use]
     pub fn way_ms(&self, region: &str, own_region: &str) -> f64 {
-        let unknown = if region == own_region {
+        let default_ms = if region == own_region {
             0.0
         } else {
-            OTHER_REGION_MS
+            DEFAULT_REMOTE_RTT_MS
         };
-        self.connect_ms.get(region).copied().unwrap_or(unknown)
+        self.connect_ms.get(region).copied().unwrap_or(default_ms)
     }
 }
--- a/src/entry/region_shares.rs
+++ b/src/entry/region_shares.rs
@@ -1,13 +1,14 @@
-//! Which region's servers get the objects of a region's callers.
+//! Distributes the objects of a region's callers over the servers of all regions.
 //!
-//! The callers of an object mostly stand in one region, and an answer from another one comes later
-//! and costs bytes between regions. So a region's objects stay on its own servers as far as those
-//! have room, measured against the callers of all regions; what has no room goes to the regions
-//! that have some left. All servers are then equally busy, and as little as possible goes far.
+//! The callers of an object are mostly in one region, and an answer from another region takes
+//! longer and costs traffic between regions. A region's objects therefore stay on its own servers
+//! as far as their capacity suffices, relative to the callers of all regions; the excess goes to
+//! regions with spare capacity. All servers are then equally busy, and as little as possible leaves
+//! its region.
 //!
-//! The number of entry hosts stands for the number of callers: hosts are placed where callers are.
-//! Following the work that hosts measure and tell each other was tried and measured worse, since
-//! each move of a share makes servers meet objects that they don't know
+//! The number of entry hosts stands for the number of callers, because hosts are placed where the
+//! callers are. Using the load that hosts measure and report to each other performs worse: each
+//! change of a share sends objects to servers that do not have them cached
 //! (docs/DECISIONS-UNDER-LOAD.md).
 
 use std::{cell, collections, rc};
@@ -16,25 +17,25 @@
 use super::wire::WireProtocol;
 use crate::timer::Moment;
 
-/// The weight of a server in a region that gets none of the objects: low enough to come last,
-/// above zero so that it is still ranked when nothing else is left.
-const LEAST_WEIGHT: f64 = 0.02;
-/// Weights are worked out again after this time, in milliseconds: a small part of the time in which
-/// a drain or an evacuation must be in force.
-const VALID_MS: u64 = 500;
+/// Minimum weight of a server, for regions that get none of the objects. It is low enough to rank
+/// last, and above zero so that the server is still ranked when no other is left.
+const MIN_WEIGHT: f64 = 0.02;
+/// How long cached weights are valid, in milliseconds: a small part of the time within which a
+/// drain or an evacuation must take effect.
+const CACHE_TTL_MS: u64 = 500;
 
-/// The callers of a region and its servers' room for one service.
+/// The callers of a region and the capacity of its servers for one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RegionRoom {
     /// The region.
     pub region: String,
-    /// Its entry hosts, which stand for its callers.
+    /// Number of entry hosts, which stands for the number of callers.
     pub hosts: u32,
-    /// Slots of its servers.
+    /// Total slots of the region's servers.
     pub slots: u32,
 }
 
-/// What the servers of each region weigh in the rank of an object; 1 where regions don't matter.
+/// The weights of each region's servers in the ranking of objects; 1 where regions do not matter.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RegionWeights {
     weights: collections::HashMap<String, f64>,
@@ -53,44 +54,47 @@
         self.weights.values().copied().fold(1.0, f64::max)
     }
 
-    /// Weights for the objects of the callers in region `own`.
+    /// Computes the weights for objects of the callers in region `own`.
     ///
     /// ```
     /// use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
-    /// let room = |region: &str, hosts, slots| RegionRoom {
+    /// let capacity = |region: &str, hosts, slots| RegionRoom {
     ///     region: region.to_owned(),
     ///     hosts,
     ///     slots,
     /// };
-    /// let rooms = [room("small", 3, 6), room("large", 3, 54)];
+    /// let capacities = [capacity("small", 3, 6), capacity("large", 3, 54)];
     /// // The large region has room for its own objects; the small one's go there for the most part.
-    /// assert!(RegionWeights::for_region("large", &rooms).of("small") < 0.1);
-    /// assert!(RegionWeights::for_region("small", &rooms).of("large") > 0.8);
+    /// assert!(RegionWeights::for_region("large", &capacities).of("small") < 0.1);
+    /// assert!(RegionWeights::for_region("small", &capacities).of("large") > 0.8);
     /// ```
     #[must_use]
-    pub fn for_region(own: &str, rooms: &[RegionRoom]) -> Self {
-        let whole = RegionTotals::of(rooms);
-        let Some(own_room) = rooms.iter().find(|room| room.region == own) else {
+    pub fn for_region(own: &str, capacities: &[RegionRoom]) -> Self {
+        let totals = RegionTotals::of(capacities);
+        let Some(own_capacity) = capacities.iter().find(|capacity| capacity.region == own) else {
             return Self::default();
         };
-        if own_room.hosts == 0 || whole.slots <= 0.0 {
+        if own_capacity.hosts == 0 || totals.slots <= 0.0 {
             return Self::default();
         }
-        let leaving = (-whole.spare(own_room)).max(0.0) / whole.demand(own_room);
-        let all_spare: f64 = rooms.iter().map(|room| whole.spare(room).max(0.0)).sum();
-        let share = |room: &RegionRoom| {
-            if room.region == own {
-                1.0 - leaving
+        let excess = (-totals.spare(own_capacity)).max(0.0) / totals.demand(own_capacity);
+        let all_spare: f64 = capacities
+            .iter()
+            .map(|capacity| totals.spare(capacity).max(0.0))
+            .sum();
+        let share = |capacity: &RegionRoom| {
+            if capacity.region == own {
+                1.0 - excess
             } else if all_spare > 0.0 {
-                leaving * whole.spare(room).max(0.0) / all_spare
+                excess * totals.spare(capacity).max(0.0) / all_spare
             } else {
                 0.0
             }
         };
-        let with_servers = rooms.iter().filter(|room| room.slots > 0);
-        let weights = with_servers.map(|room| {
-            let weight = share(room) / whole.supply(room);
-            (room.region.clone(), weight.max(LEAST_WEIGHT))
+        let with_servers = capacities.iter().filter(|capacity| capacity.slots > 0);
+        let weights = with_servers.map(|capacity| {
+            let weight = share(capacity) / totals.supply(capacity);
+            (capacity.region.clone(), weight.max(MIN_WEIGHT))
         });
         Self {
             weights: weights.collect(),
@@ -106,31 +110,37 @@
 }
 
 impl RegionTotals {
-    fn of(rooms: &[RegionRoom]) -> Self {
+    fn of(capacities: &[RegionRoom]) -> Self {
         Self {
-            hosts: rooms.iter().map(|room| f64::from(room.hosts)).sum(),
-            slots: rooms.iter().map(|room| f64::from(room.slots)).sum(),
+            hosts: capacities
+                .iter()
+                .map(|capacity| f64::from(capacity.hosts))
+                .sum(),
+            slots: capacities
+                .iter()
+                .map(|capacity| f64::from(capacity.slots))
+                .sum(),
         }
     }
 
-    /// The part of all callers that stands in a region.
-    fn demand(&self, room: &RegionRoom) -> f64 {
-        f64::from(room.hosts) / self.hosts
+    /// The fraction of all callers that is in a region.
+    fn demand(&self, capacity: &RegionRoom) -> f64 {
+        f64::from(capacity.hosts) / self.hosts
     }
 
-    /// The part of all slots that stands there.
-    fn supply(&self, room: &RegionRoom) -> f64 {
-        f64::from(room.slots) / self.slots
+    /// The fraction of all slots that is in a region.
+    fn supply(&self, capacity: &RegionRoom) -> f64 {
+        f64::from(capacity.slots) / self.slots
     }
 
-    /// What a region has left of its fair part after its own callers; below zero where that is not
-    /// enough.
-    fn spare(&self, room: &RegionRoom) -> f64 {
-        self.supply(room) - self.demand(room)
+    /// The part of a region's supply that its own callers do not need; negative if the supply is
+    /// too small.
+    fn spare(&self, capacity: &RegionRoom) -> f64 {
+        self.supply(capacity) - self.demand(capacity)
     }
 }
 
-/// The weights of each service, until they are worked out again.
+/// Cached weights of each service.
 #[derive(Debug, Default)]
 pub struct WeightCache {
     entries: cell::RefCell<collections::HashMap<String, CachedWeights>>,
@@ -146,7 +156,7 @@
     fn get(&self, service: &str, now: Moment) -> Option<rc::Rc<RegionWeights>> {
         let entries = self.entries.borrow();
         let cached = entries.get(service)?;
-        (now.since(cached.at) < VALID_MS).then(|| rc::Rc::clone(&cached.weights))
+        (now.since(cached.at) < CACHE_TTL_MS).then(|| rc::Rc::clone(&cached.weights))
     }
 
     fn put(&self, service: &str, weights: &rc::Rc<RegionWeights>, now: Moment) {
@@ -160,21 +170,22 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// What the regions' servers weigh for objects of `service` that callers of this region ask for.
+    /// The weights of the regions' servers for objects of `service` that callers of this region
+    /// request.
     #[must_use]
     pub fn region_weights(&self, service: &str) -> rc::Rc<RegionWeights> {
         let now = self.now();
         if let Some(weights) = self.region_weights.get(service, now) {
             return weights;
         }
-        let rooms = self.region_rooms(service);
-        let weights = RegionWeights::for_region(&self.settings().region, &rooms);
+        let capacities = self.region_capacities(service);
+        let weights = RegionWeights::for_region(&self.settings().region, &capacities);
         let weights = rc::Rc::new(weights);
         self.region_weights.put(service, &weights, now);
         weights
     }
 
-    fn region_rooms(&self, service: &str) -> Vec<RegionRoom> {
+    fn region_capacities(&self, service: &str) -> Vec<RegionRoom> {
         let hosts = self.hosts_by_region();
         let mut slots = collections::BTreeMap::<rc::Rc<str>, u32>::new();
         let evacuated = self.evacuated_halls();
@@ -186,11 +197,11 @@
         let with_hosts = hosts.keys().map(String::as_str);
         let with_servers = slots.keys().map(|region| &**region);
         let regions: collections::BTreeSet<&str> = with_hosts.chain(with_servers).collect();
-        let room = |region: &str| RegionRoom {
+        let capacity = |region: &str| RegionRoom {
             region: region.to_owned(),
             hosts: hosts.get(region).copied().unwrap_or(0),
             slots: slots.get(region).copied().unwrap_or(0),
         };
-        regions.into_iter().map(room).collect()
+        regions.into_iter().map(capacity).collect()
     }
 }
--- a/tests/entry_route_times.rs
+++ b/tests/entry_route_times.rs
@@ -1,22 +1,22 @@
-//! What a route's requests usually take, learned from answers of which some tell nothing.
+//! Tests of the typical time of a route's requests, learned from answers that are partly delayed.
 
 use ledgespool::entry::route_times::{AnswerSample, RouteTimeTable};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-/// Plain work, in milliseconds.
+/// Processing time, in milliseconds.
 const WORK_MS: u64 = 100;
-/// The time of a request that waited behind first runs.
+/// Time of a request that waited behind cache misses, in milliseconds.
 const WAITED_MS: u64 = 900;
 
-fn usual_after(answers: usize, waiting_share: f64) -> f64 {
+fn typical_after(answers: usize, waiting_fraction: f64) -> f64 {
     let mut random = SmallRng::seed_from_u64(11);
     let mut times = RouteTimeTable::default();
     for _ in 0..answers {
-        let waited = random.random_bool(waiting_share);
+        let has_waited = random.random_bool(waiting_fraction);
         let sample = AnswerSample {
             route: "reads",
-            millis: if waited { WAITED_MS } else { WORK_MS },
+            millis: if has_waited { WAITED_MS } else { WORK_MS },
             known_object: true,
         };
         times.on_answer(&sample);
@@ -24,16 +24,16 @@
     times.known_ms("reads").expect("answers came")
 }
 
-/// An average of these would be 420 ms: above many a goal, so that hosts refused what free servers
-/// would have answered in time.
+/// The average of these times would be 420 ms, above the goal of many routes. Hosts would then
+/// refuse requests that idle servers would answer in time.
 #[test]
 fn answers_that_waited_do_not_hide_how_long_the_work_takes() {
-    let usual_ms = usual_after(500, 0.4);
-    assert!((80.0..150.0).contains(&usual_ms), "{usual_ms}");
+    let typical_ms = typical_after(500, 0.4);
+    assert!((80.0..150.0).contains(&typical_ms), "{typical_ms}");
 }
 
 #[test]
 fn when_most_answers_take_longer_the_usual_time_follows() {
-    let usual_ms = usual_after(500, 1.0);
-    assert!((800.0..1_000.0).contains(&usual_ms), "{usual_ms}");
+    let typical_ms = typical_after(500, 1.0);
+    assert!((800.0..1_000.0).contains(&typical_ms), "{typical_ms}");
 }
