--- a/src/entry/ended_servers.rs
+++ b/src/entry/ended_servers.rs
@@ -1,127 +1,145 @@
-//! The backend servers that have ended, for other hosts that missed it.
+//! The backend servers that were removed most recently, for hosts that missed the removal.
 //!
-//! A host that asks for what has changed since an earlier count of the store must also hear of what
-//! is gone. Only the last that ended are remembered; for what lies further back, a host reads the
-//! whole list.
+//! A host that requests all changes since an older store revision must also learn which servers
+//! were removed. Only the latest removals are remembered; for anything older, the host reads the
+//! complete list.
 
 use std::collections;
 
 use super::hash;
 use super::store_position;
 
-/// Ended servers that are remembered at least. Beyond, as many as there are servers: when a hall or a region of any
-/// size is lost, a host that missed the news still hears of it without reading the whole list.
-const LEAST_ENDED: usize = 1_024;
+/// Minimum number of removed servers that are remembered. In a larger fleet it is the number of
+/// servers, so that a host that missed the loss of a hall or region of any size does not have to
+/// read the complete list.
+const MIN_REMOVED_SERVERS: usize = 1_024;
 
-/// A server that is gone, and the store's count by which it was.
+/// A removed server, and the store revision up to which it was removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct EndedServer {
+struct RemovedServer {
     id: String,
     born: Option<u64>,
-    by: u64,
-    kind: EndKind,
+    removed_by: u64,
+    kind: RemovalKind,
 }
 
-/// One start of a server.
+/// Identifies one incarnation of a server.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ServerStart<'a> {
+pub(super) struct ServerIncarnation<'a> {
     pub(super) id: &'a str,
     pub(super) born: Option<u64>,
 }
 
-/// How it is known that a server ended.
+/// How the removal of a server was detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum EndKind {
-    /// The store removed its entry.
-    Removed,
-    /// Its entry lapsed and did not come back in time, as far as this host saw: it may have come
-    /// back before the count by which it was given up.
-    Lapsed,
+pub(super) enum RemovalKind {
+    /// The store deleted its entry.
+    Deleted,
+    /// Its entry went missing and was not restored in time, as far as this host observed. The entry
+    /// may have been restored before the revision at which the server was given up.
+    Expired,
 }
 
-/// The last servers that ended.
+/// The most recently removed servers.
 #[derive(Debug, Default)]
-pub(super) struct EndedServers {
-    servers: collections::VecDeque<EndedServer>,
-    /// How many were forgotten: the number of the first that is remembered.
+pub(super) struct RemovedServers {
+    servers: collections::VecDeque<RemovedServer>,
+    /// Number of removals already forgotten, which is the number of the first remembered one.
     forgotten: usize,
-    /// The number of the last end of each identity, by its hash.
-    last: rustc_hash::FxHashMap<u64, usize>,
-    /// What ended up to this count of the store may be forgotten.
-    told_from: u64,
+    /// Number of the last removal of each identity, by the identity's hash.
+    last_numbers: rustc_hash::FxHashMap<u64, usize>,
+    /// Removals up to this store revision may have been forgotten.
+    complete_since: u64,
 }
 
-impl EndedServers {
-    /// The first list was read; nothing is known of what ended up to its count `revision`.
+impl RemovedServers {
+    /// The first list was read; removals up to its revision `revision` are unknown.
     pub(super) fn on_first_list(&mut self, revision: u64) {
-        self.told_from = self.told_from.max(revision);
+        self.complete_since = self.complete_since.max(revision);
     }
 
-    /// A server is gone by the store's count `by`; `fleet` servers are left.
-    pub(super) fn on_ended(
+    /// A server was removed up to the store revision `removed_by`; `fleet` servers are left.
+    pub(super) fn on_removed(
         &mut self,
-        start: ServerStart<'_>,
-        by: u64,
-        kind: EndKind,
+        incarnation: ServerIncarnation<'_>,
+        removed_by: u64,
+        kind: RemovalKind,
         fleet: usize,
     ) {
         let number = self.forgotten + self.servers.len();
-        self.last.insert(hash::of_name(start.id), number);
-        self.servers.push_back(EndedServer {
-            id: start.id.to_owned(),
-            born: start.born,
-            by,
+        self.last_numbers
+            .insert(hash::of_name(incarnation.id), number);
+        self.servers.push_back(RemovedServer {
+            id: incarnation.id.to_owned(),
+            born: incarnation.born,
+            removed_by,
             kind,
         });
-        while self.servers.len() > fleet.max(LEAST_ENDED) {
-            self.forget_first();
+        while self.servers.len() > fleet.max(MIN_REMOVED_SERVERS) {
+            self.forget_oldest();
         }
     }
 
-    fn forget_first(&mut self) {
+    fn forget_oldest(&mut self) {
         let Some(first) = self.servers.pop_front() else {
             return;
         };
         let key = hash::of_name(&first.id);
-        if self.last.get(&key) == Some(&self.forgotten) {
-            self.last.remove(&key);
+        if self.last_numbers.get(&key) == Some(&self.forgotten) {
+            self.last_numbers.remove(&key);
         }
         self.forgotten += 1;
-        self.told_from = self.told_from.max(first.by);
+        self.complete_since = self.complete_since.max(first.removed_by);
     }
 
-    /// The last end of a server, if it is remembered.
-    fn last_end(&self, id: &str) -> Option<&EndedServer> {
-        let number = self.last.get(&hash::of_name(id))?;
-        let ended = self.servers.get(number - self.forgotten)?;
-        (ended.id == id).then_some(ended)
+    /// The last removal of a server, if it is remembered.
+    fn last_removal(&self, id: &str) -> Option<&RemovedServer> {
+        let number = self.last_numbers.get(&hash::of_name(id))?;
+        let removed = self.servers.get(number - self.forgotten)?;
+        (removed.id == id).then_some(removed)
     }
 
-    /// Whether the store removed the entry of this start of a server, or of a later one, by its count
-    /// `revision` or later: an entry of that count is out of date.
-    pub(super) fn has_ended(&self, start: ServerStart<'_>, revision: u64) -> bool {
-        let last = self.last_end(start.id);
-        last.is_some_and(|ended| {
-            let is_later_start = start.born > ended.born;
-            ended.kind == EndKind::Removed && ended.by >= revision && !is_later_start
+    /// Whether the store deleted the entry of this incarnation of a server, or of a later one, at
+    /// `revision` or later. An entry of that revision is then outdated.
+    pub(super) fn was_removed_since(
+        &self,
+        incarnation: ServerIncarnation<'_>,
+        revision: u64,
+    ) -> bool {
+        let last = self.last_removal(incarnation.id);
+        last.is_some_and(|removed| {
+            let is_later_incarnation = incarnation.born > removed.born;
+            removed.kind == RemovalKind::Deleted
+                && removed.removed_by >= revision
+                && !is_later_incarnation
         })
     }
 
-    /// Whether the store removed the entry of this start of a server in an era before that of `position`: where the
-    /// entry is there again, it comes from an older copy, or its server lives and has written it again.
-    pub(super) fn ended_in_former_era(&self, start: ServerStart<'_>, position: u64) -> bool {
-        let last = self.last_end(start.id);
-        let era = store_position::era_of;
-        last.is_some_and(|ended| era(ended.by) < era(position) && start.born <= ended.born)
+    /// Whether the entry of this incarnation of a  server was removed in an epoch before that of
+    /// `position`. If the entry is present again, the store was restored from an older copy, or the
+    /// server is alive and has written it again.
+    pub(super) fn removed_in_earlier_epoch(
+        &self,
+        incarnation: ServerIncarnation<'_>,
+        position: u64,
+    ) -> bool {
+        let last = self.last_removal(incarnation.id);
+        let epoch = store_position::era_of;
+        last.is_some_and(|removed| {
+            epoch(removed.removed_by) < epoch(position) && incarnation.born <= removed.born
+        })
     }
 
-    /// The identities of those that ended past the store's count `since`; `None` when that is not
-    /// known any more.
+    /// The identities of the servers removed after the store revision `since`; `None` if these are
+    /// no longer known.
     pub(super) fn since(&self, since: u64) -> Option<impl Iterator<Item = &String>> {
-        if since < self.told_from {
+        if since < self.complete_since {
             return None;
         }
-        let later = self.servers.iter().filter(move |ended| ended.by > since);
-        Some(later.map(|ended| &ended.id))
+        let later = self
+            .servers
+            .iter()
+            .filter(move |removed| removed.removed_by > since);
+        Some(later.map(|removed| &removed.id))
     }
 }
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -1,12 +1,12 @@
-//! The backend servers that this host knows, by incarnation.
+//! The backend servers that this host knows, by identity.
 //!
-//! Two sources meet here. The store says which servers exist, whether they drain and whether
-//! their hall is to be emptied; own requests show how fast and how loaded each one is
+//! A server's data comes from two sources. The store lists the servers, their state and whether
+//! their hall is evacuated; this host's own requests show how fast and how loaded each server is
 //! ([`super::fleet_server`]).
 
 use std::{cmp, collections, rc};
 
-use super::ended_servers::{EndKind, EndedServers, ServerStart};
+use super::ended_servers::{RemovalKind, RemovedServers, ServerIncarnation};
 use super::fleet_change::{ChangeSpan, FleetChange, LapsedServer};
 use super::fleet_index::FleetIndex;
 use super::fleet_server::FleetServer;
@@ -14,28 +14,28 @@
 use super::past_notices::PastNotices;
 use super::server::{self, ServerObject, ServerRecord, ServerState};
 use super::settings::HallMap;
-use super::shared_names::SharedNames;
+use super::shared_names::NameInterner;
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use crate::timer::Moment;
 
-/// When at least this many servers vanish at the same time, and at least one of
-/// [`LAPSE_ONE_OF`] that serve, their entries have perhaps only lapsed: an outage of the store
-/// that falls between two calls is seen by nothing else.
-const LAPSE_LEAST: usize = 3;
-/// See [`LAPSE_LEAST`]. More than a hall that loses power takes away in the deployments in use, and
-/// its servers would not take work if they were kept.
-const LAPSE_ONE_OF: usize = 4;
+/// When at least this many available servers vanish at the same time, and they are at least one in
+/// [`MASS_EXPIRY_DIVISOR`] of the available servers, their entries may only have expired. An
+/// outage of the store that falls between two calls cannot be detected in another way.
+const MIN_MASS_EXPIRY: usize = 3;
+/// See [`MIN_MASS_EXPIRY`]. One in four is more than a hall that loses power takes away in current
+/// deployments; the servers of such a hall could not serve if they were retained.
+const MASS_EXPIRY_DIVISOR: usize = 4;
 
-/// A server, and what the store says of it that may change.
+/// A server, with the part of its store entry that may change.
 #[derive(Debug)]
 pub(super) struct FleetEntry {
     pub(super) server: rc::Rc<FleetServer>,
-    /// The store's count at the entry's last change.
+    /// The store revision of the entry's last change.
     pub(super) revision: u64,
     pub(super) stored: StoredState,
 }
 
-/// What the store says of a server, beside what stays the same for one start of it.
+/// The fields of a store entry that may change during one incarnation of the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct StoredState {
     pub(super) born: Option<u64>,
@@ -54,7 +54,7 @@
 }
 
 impl FleetEntry {
-    /// The server as the store holds it.
+    /// The server as listed in the store.
     pub(super) fn object(&self) -> ServerObject {
         let server = &self.server;
         let record = ServerRecord {
@@ -80,27 +80,28 @@
 pub struct Fleet {
     pub(super) entries: collections::HashMap<rc::Rc<str>, FleetEntry>,
     /// Names that many servers share.
-    pub(super) names: SharedNames,
+    pub(super) names: NameInterner,
     index: FleetIndex,
-    /// Servers whose entries went missing, until that is found to be over.
+    /// Servers whose entries went missing. Servers that are no longer missing are dropped at the
+    /// next tick.
     missing: Vec<rc::Rc<FleetServer>>,
-    /// The last that ended, for hosts that missed it.
-    pub(super) ended: EndedServers,
+    /// The most recently removed servers, for hosts that missed the removal.
+    pub(super) removed: RemovedServers,
     pub(super) past_notices: PastNotices,
     revision: u64,
     changed: u64,
-    lapses: LapseHold,
-    listed: bool,
+    retention: LapseHold,
+    is_listed: bool,
 }
 
 impl Fleet {
-    /// The servers of a service that are not gone.
+    /// The known servers of a service.
     #[must_use]
     pub fn of_service(&self, service: &str) -> &[rc::Rc<FleetServer>] {
         self.index.of_service(service)
     }
 
-    /// Whether an incarnation is known and not gone.
+    /// Whether a server of this identity is known and not removed.
     #[must_use]
     pub fn knows(&self, id: &str) -> bool {
         self.entries.contains_key(id)
@@ -110,70 +111,70 @@
         self.entries.get(id).map(|entry| &entry.server)
     }
 
-    /// A server told something of itself with an answer that came when its entry was gone: the same start of it may come
-    /// back, or be back already.
+    /// Records the notice of a server whose answer arrived after its entry was removed. The same
+    /// incarnation may be listed again, now or later.
     pub fn on_late_notice(&mut self, server: &FleetServer, now: Moment) {
         let notice = server.notice();
-        match self.index.of_start(server.start_hash) {
+        match self.index.of_incarnation(server.start_hash) {
             Some(current) => current.change_notice(|known| known.join(notice)),
             None => self.past_notices.put(server.start_hash, notice, now),
         }
     }
 
-    /// Servers that are kept although their entries are missing.
+    /// Servers that are retained although their entries are missing.
     pub(super) fn missing(&self) -> impl Iterator<Item = &rc::Rc<FleetServer>> {
         let missing = self.missing.iter();
         missing.filter(|server| !server.is_gone() && server.missing_until().is_some())
     }
 
-    /// The server with this hash of identity and start, if it is known and not gone.
+    /// The server with this incarnation hash, if it is known and not removed.
     #[must_use]
-    pub fn of_start(&self, start_hash: u64) -> Option<rc::Rc<FleetServer>> {
-        self.index.of_start(start_hash).cloned()
+    pub fn of_incarnation(&self, start_hash: u64) -> Option<rc::Rc<FleetServer>> {
+        self.index.of_incarnation(start_hash).cloned()
     }
 
-    /// How often a server was put into the ways to find it: what changes cost.
+    /// How often a server was added to the index, a measure of the cost of changes.
     #[must_use]
     pub const fn servers_indexed(&self) -> u64 {
         self.index.indexed()
     }
 
-    /// Every server that is not gone.
+    /// All known servers.
     pub fn servers(&self) -> impl Iterator<Item = &rc::Rc<FleetServer>> {
         self.entries.values().map(|entry| &entry.server)
     }
 
-    /// Whether the whole list was read at least once.
+    /// Whether a complete list was read at least once.
     #[must_use]
     pub const fn is_listed(&self) -> bool {
-        self.listed
+        self.is_listed
     }
 
-    /// The store's count up to which the fleet is current.
+    /// The store revision up to which the fleet is current.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The store's count at the last change that the fleet has taken in; between it and
+    /// The store revision of the last change that the fleet has applied; between it and
     /// [`Self::revision`] no server changed.
     #[must_use]
     pub const fn changed(&self) -> u64 {
         self.changed
     }
 
-    /// A server that leaves serves on for this long, in milliseconds.
+    /// Sets how long a leaving server continues to serve, in milliseconds.
     pub const fn set_leave_ms(&mut self, leave_ms: u64) {
-        self.lapses.set_leave_ms(leave_ms);
+        self.retention.set_leave_ms(leave_ms);
     }
 
-    /// The store was away and answers again, first with its count `revision`: entries that go missing
-    /// now have perhaps only lapsed.
+    /// The store is available again after an outage, first with its revision `revision`: entries
+    /// that are missing from now on may only have expired.
     pub fn on_store_return(&mut self, sight: ReturnSight, revision: u64, now: Moment) {
-        self.lapses.on_store_return(sight, revision, now);
+        self.retention.on_store_return(sight, revision, now);
     }
 
-    /// Takes over a whole list.
+    /// Applies a complete list.
     pub fn on_list(
         &mut self,
         objects: &[StoredObject],
@@ -182,65 +183,66 @@
         halls: &HallMap,
         now: Moment,
     ) -> Vec<FleetChange> {
-        if self.listed && revision < self.revision {
+        if self.is_listed && revision < self.revision {
             return Vec::new();
         }
         let mut changes = Vec::new();
-        if !self.listed {
-            self.ended.on_first_list(revision);
+        if !self.is_listed {
+            self.removed.on_first_list(revision);
         }
         let missing = self.missing_from(objects, revision);
-        self.prepare_holds(missing.iter().map(String::as_str), source, now);
+        self.prepare_retention(missing.iter().map(String::as_str), source, now);
         for id in missing {
             changes.extend(self.remove(&id, revision, source, now));
         }
         for object in objects {
             if !self.is_superseded(object) {
-                changes.extend(self.put(object, halls, now));
+                changes.extend(self.apply_entry(object, halls, now));
             }
         }
         self.revision = revision;
         self.changed = revision;
-        self.listed = true;
+        self.is_listed = true;
         let servers = self.entries.values().map(|entry| &entry.server);
         self.index.rebuild(servers);
-        self.names.forget_unused();
+        self.names.remove_unused();
         changes
     }
 
-    /// Decides whether entries that are missing may have lapsed.
-    fn prepare_holds<'a>(
+    /// Decides whether missing entries may only have expired.
+    fn prepare_retention<'a>(
         &mut self,
         vanished: impl Iterator<Item = &'a str>,
         source: MissingSource<'_>,
         now: Moment,
     ) {
         match source {
-            MissingSource::Store => self.hold_if_many(vanished, now),
+            MissingSource::Store => self.retain_if_many(vanished, now),
             MissingSource::Peer(told) => {
                 if let Some(until) = told.longest() {
-                    self.lapses.on_told(until);
+                    self.retention.on_told(until);
                 }
             }
         }
     }
 
-    /// Keeps servers that vanish when they are too many to have ended at the same time. Those that
-    /// drained before are gone.
-    fn hold_if_many<'a>(&mut self, vanished: impl Iterator<Item = &'a str>, now: Moment) {
-        let serves = |server: &rc::Rc<FleetServer>| server.takes_work();
+    /// Retains vanished servers if they are too many to have left at the same time. Servers that
+    /// drained before are not retained.
+    fn retain_if_many<'a>(&mut self, vanished: impl Iterator<Item = &'a str>, now: Moment) {
+        let is_available = |server: &rc::Rc<FleetServer>| server.takes_work();
         let vanished = vanished.filter_map(|id| self.server(id));
-        let vanished = vanished.filter(|server| serves(server)).count();
-        if vanished < LAPSE_LEAST {
+        let vanished = vanished.filter(|server| is_available(server)).count();
+        if vanished < MIN_MASS_EXPIRY {
             return;
         }
-        let serving = self.servers().filter(|server| serves(server)).count();
-        if vanished * LAPSE_ONE_OF >= serving {
-            self.lapses.on_many_vanished(now);
+        let available = self.servers().filter(|server| is_available(server)).count();
+        if vanished * MASS_EXPIRY_DIVISOR >= available {
+            self.retention.on_many_vanished(now);
         }
     }
 
-    /// The servers that are not in a list made at `revision` and were not seen later.
+    /// The servers that are missing from a list of the store revision `revision` and have not
+    /// changed since.
     fn missing_from(&self, objects: &[StoredObject], revision: u64) -> Vec<String> {
         let present: collections::HashSet<&str> =
             objects.iter().map(|object| object.name.as_str()).collect();
@@ -251,14 +253,14 @@
             .collect()
     }
 
-    /// Whether the server is known as it stood after the store's count `revision`.
-    fn knows_newer(&self, id: &str, revision: u64) -> bool {
+    /// Whether the server is known from an entry newer than the store revision `revision`.
+    fn is_newer_known(&self, id: &str, revision: u64) -> bool {
         let known = self.entries.get(id);
         known.is_some_and(|known| known.revision > revision)
     }
 
-    /// Whether an entry tells of an earlier start of its server than is known, or of the same as it stood
-    /// earlier.
+    /// Whether an entry describes an earlier incarnation of its server than the known one, or an
+    /// older state of the same incarnation.
     fn is_superseded(&self, object: &StoredObject) -> bool {
         let order = match (&object.content, self.entries.get(&*object.name)) {
             (ObjectContent::Server(record), Some(known)) => {
@@ -268,12 +270,12 @@
         };
         match order {
             cmp::Ordering::Less => true,
-            cmp::Ordering::Equal => self.knows_newer(&object.name, object.revision),
+            cmp::Ordering::Equal => self.is_newer_known(&object.name, object.revision),
             cmp::Ordering::Greater => false,
         }
     }
 
-    /// Takes over changes in their order.
+    /// Applies changes in their order.
     pub fn on_changes(
         &mut self,
         batch: &[ObjectChange],
@@ -285,11 +287,12 @@
         let mut changes = Vec::new();
         let vanished = batch.iter().filter(|change| change.deleted);
         let vanished = vanished.map(|change| change.object.name.as_str());
-        self.prepare_holds(vanished, source, now);
-        // Ends within the batch are in order; those known before may be later than its entries.
+        self.prepare_retention(vanished, source, now);
+        // Removals within the batch are in order. Those known before the batch may be newer than
+        // its entries, so they are checked first.
         let outdated: Vec<bool> = batch
             .iter()
-            .map(|change| self.is_outdated(change))
+            .map(|change| self.is_removed_later(change))
             .collect();
         for (change, outdated) in batch.iter().zip(outdated) {
             let id = &change.object.name;
@@ -300,7 +303,7 @@
             if change.deleted {
                 changes.extend(self.remove(id, span.until, source, now));
             } else if change.object.revision > self.revision || self.knows(id) {
-                changes.extend(self.put(&change.object, halls, now));
+                changes.extend(self.apply_entry(&change.object, halls, now));
             }
             let after = self.entries.get(id.as_str()).map(|entry| &entry.server);
             self.index.replace(before.as_ref(), after);
@@ -312,40 +315,40 @@
         changes
     }
 
-    /// Whether a change tells of an entry whose server is known to have ended later.
-    fn is_outdated(&self, change: &ObjectChange) -> bool {
+    /// Whether a change is an entry of a server that is known to have been removed later.
+    fn is_removed_later(&self, change: &ObjectChange) -> bool {
         let revision = change.object.revision;
         match &change.object.content {
             ObjectContent::Server(record) => {
-                let start = ServerStart {
+                let incarnation = ServerIncarnation {
                     id: &record.id,
                     born: record.born,
                 };
-                !change.deleted && self.ended.has_ended(start, revision)
+                !change.deleted && self.removed.was_removed_since(incarnation, revision)
             }
             _ => false,
         }
     }
 
-    /// The store's count has moved on and no server has changed.
+    /// The store revision advanced without a change of any server.
     pub fn on_quiet(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes lapsed servers out whose time is over.
+    /// Removes missing servers whose retention time is over.
     pub fn on_tick(&mut self, now: Moment) -> Vec<FleetChange> {
         self.past_notices.on_tick(now);
         if self.missing.is_empty() {
             return Vec::new();
         }
         let missing: Vec<_> = self.missing().cloned().collect();
-        let (lapsed, kept) = missing
+        let (expired, still_missing) = missing
             .into_iter()
             .partition(|server| server.has_lapsed(now));
-        self.missing = kept;
+        self.missing = still_missing;
         let mut changes = Vec::new();
-        for server in lapsed {
-            changes.extend(self.end(&server.id, self.revision, EndKind::Lapsed, now));
+        for server in expired {
+            changes.extend(self.remove_now(&server.id, self.revision, RemovalKind::Expired, now));
             self.index.replace(Some(&server), None);
         }
         changes
@@ -359,17 +362,17 @@
         now: Moment,
     ) -> Option<FleetChange> {
         let server = rc::Rc::clone(self.server(id)?);
-        let hold = match source {
-            MissingSource::Store => self.lapses.server_hold(by, now),
+        let retained = match source {
+            MissingSource::Store => self.retention.server_hold(by, now),
             MissingSource::Peer(told) => told.server_hold(id),
         };
-        let Some(hold) = hold else {
-            return self.end(id, by, EndKind::Removed, now);
+        let Some(retained) = retained else {
+            return self.remove_now(id, by, RemovalKind::Deleted, now);
         };
-        if !server.on_missing(hold.until) {
+        if !server.on_missing(retained.until) {
             return None;
         }
-        // It may have come back and gone again since the last look.
+        // It may have been listed and gone missing again since the last tick.
         let is_known = self
             .missing
             .iter()
@@ -379,12 +382,18 @@
         }
         Some(FleetChange::Lapsed(LapsedServer {
             id: id.to_owned(),
-            hold_ms: hold.until.since(now),
-            reason: hold.reason,
+            hold_ms: retained.until.since(now),
+            reason: retained.reason,
         }))
     }
 
-    fn end(&mut self, id: &str, by: u64, kind: EndKind, now: Moment) -> Option<FleetChange> {
+    fn remove_now(
+        &mut self,
+        id: &str,
+        by: u64,
+        kind: RemovalKind,
+        now: Moment,
+    ) -> Option<FleetChange> {
         let entry = self.entries.remove(id)?;
         let server = entry.server;
         let notice = server.notice();
@@ -392,11 +401,11 @@
         server.on_gone();
         let left = self.entries.len();
         let by = by.max(self.revision);
-        let start = ServerStart {
+        let incarnation = ServerIncarnation {
             id: &server.id,
             born: entry.stored.born,
         };
-        self.ended.on_ended(start, by, kind, left);
+        self.removed.on_removed(incarnation, by, kind, left);
         Some(FleetChange::Gone(id.to_owned()))
     }
 }
--- a/src/entry/fleet_change.rs
+++ b/src/entry/fleet_change.rs
@@ -1,26 +1,28 @@
-//! Changes of the known servers: what the store or another host tells, and what came of it.
+//! Changes of the known servers, and the extent of a batch of changes.
 
 use super::lapse_hold::HoldReason;
 
 /// What a change did to the fleet, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetChange {
-    /// A new incarnation.
+    /// A new server.
     Joined(String),
-    /// It has started again under its identity: what was known of it is forgotten.
+    /// The server has restarted under the same identity; what was known of its previous incarnation is
+    /// dropped.
     Restarted(String),
-    /// It takes no new work.
+    /// The server takes no new requests.
     Draining(String),
-    /// Its entry went missing and has perhaps only lapsed; it is kept for a moment.
+    /// The server's entry is missing and may only have expired; the server is retained for a short
+    /// time.
     Lapsed(LapsedServer),
-    /// It is gone.
+    /// The server was removed.
     Gone(String),
-    /// An entry could not be understood.
+    /// An entry could not be parsed.
     Unreadable(String),
 }
 
 impl FleetChange {
-    /// The identity of a new incarnation.
+    /// The identity of a new server.
     #[must_use]
     pub fn joined(&self) -> Option<&str> {
         match self {
@@ -29,7 +31,7 @@
         }
     }
 
-    /// The identity of one that is gone.
+    /// The identity of a removed server.
     #[must_use]
     pub fn gone(&self) -> Option<&str> {
         match self {
@@ -39,22 +41,22 @@
     }
 }
 
-/// A server that is kept although its entry went missing.
+/// A server that is retained although its entry is missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LapsedServer {
-    /// Its identity.
+    /// The server's identity.
     pub id: String,
-    /// How much longer it is kept, in milliseconds.
+    /// How much longer it is retained, in milliseconds.
     pub hold_ms: u64,
-    /// Why it is kept.
+    /// Why it is retained.
     pub reason: HoldReason,
 }
 
-/// How far some changes of servers bring a host.
+/// The extent of a batch of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChangeSpan {
-    /// The store's count behind the last of them.
+    /// The store revision after the last of them.
     pub until: u64,
-    /// Whether nothing between what the host knew and that count can be missing.
+    /// Whether the batch has every change between the revision that the host knew and `until`.
     pub contiguous: bool,
 }
--- a/src/entry/fleet_index.rs
+++ b/src/entry/fleet_index.rs
@@ -1,44 +1,46 @@
-//! Servers by service and by start.
+//! Servers by service and by incarnation.
 //!
-//! **Load pattern.** Each host knows every server of every region, and each change of one is told to every host: what a
-//! change costs must not grow with the number of servers, or the work of all grows with its square.
+//! **Load pattern.** Each host knows every server of every region, and each change of a server is
+//! sent to every host. The cost of a change must not grow with the number of servers, otherwise the
+//! total cost grows with its square.
 
 use std::{collections, rc};
 
 use super::fleet_server::FleetServer;
 
-/// Ways to find servers other than by identity.
+/// Indexes of the servers other than by identity.
 #[derive(Debug, Default)]
 pub(super) struct FleetIndex {
-    /// Each list in the order of identities.
+    /// Each list is sorted by identity.
     by_service: collections::HashMap<rc::Rc<str>, Vec<rc::Rc<FleetServer>>>,
-    /// By the hash of identity and start.
-    by_start: rustc_hash::FxHashMap<u64, rc::Rc<FleetServer>>,
+    /// By incarnation hash.
+    by_incarnation: rustc_hash::FxHashMap<u64, rc::Rc<FleetServer>>,
     indexed: u64,
 }
 
 impl FleetIndex {
-    /// The servers of a service, in the order of their identities.
+    /// The servers of a service, sorted by identity.
     pub(super) fn of_service(&self, service: &str) -> &[rc::Rc<FleetServer>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The server with this hash of identity and start.
-    pub(super) fn of_start(&self, start_hash: u64) -> Option<&rc::Rc<FleetServer>> {
-        self.by_start.get(&start_hash)
+    /// The server with this incarnation hash.
+    pub(super) fn of_incarnation(&self, start_hash: u64) -> Option<&rc::Rc<FleetServer>> {
+        self.by_incarnation.get(&start_hash)
     }
 
-    /// How often a server was put here.
+    /// How often a server was added.
     pub(super) const fn indexed(&self) -> u64 {
         self.indexed
     }
 
-    /// Indexes all servers anew: cheaper than one by one when most have changed.
+    /// Rebuilds the index from all servers, which is cheaper than single updates if most servers
+    /// have changed.
     pub(super) fn rebuild<'a>(&mut self, servers: impl Iterator<Item = &'a rc::Rc<FleetServer>>) {
         self.by_service.clear();
-        self.by_start.clear();
+        self.by_incarnation.clear();
         for server in servers {
-            self.by_start
+            self.by_incarnation
                 .insert(server.start_hash, rc::Rc::clone(server));
             self.list_of(server).push(rc::Rc::clone(server));
             self.indexed += 1;
@@ -48,7 +50,7 @@
         }
     }
 
-    /// One identity stands for another start of a server than before, or for none.
+    /// Replaces the server of one identity by another incarnation, adds it or removes it.
     pub(super) fn replace(
         &mut self,
         before: Option<&rc::Rc<FleetServer>>,
@@ -71,7 +73,7 @@
     }
 
     fn remove(&mut self, server: &FleetServer) {
-        self.by_start.remove(&server.start_hash);
+        self.by_incarnation.remove(&server.start_hash);
         let list = self.list_of(server);
         if let Ok(place) = list.binary_search_by(|other| other.id.cmp(&server.id)) {
             list.remove(place);
@@ -82,7 +84,7 @@
     }
 
     fn insert(&mut self, server: &rc::Rc<FleetServer>) {
-        self.by_start
+        self.by_incarnation
             .insert(server.start_hash, rc::Rc::clone(server));
         let list = self.list_of(server);
         let place = list.partition_point(|other| other.id < server.id);
--- a/src/entry/fleet_put.rs
+++ b/src/entry/fleet_put.rs
@@ -1,8 +1,8 @@
-//! What an entry of the store makes of the server that it tells of.
+//! Applies a store entry to the fleet.
 
 use std::rc;
 
-use super::ended_servers::ServerStart;
+use super::ended_servers::ServerIncarnation;
 use super::fleet::{Fleet, FleetEntry, StoredState};
 use super::fleet_change::FleetChange;
 use super::fleet_server::FleetServer;
@@ -13,7 +13,7 @@
 use crate::timer::Moment;
 
 impl Fleet {
-    pub(super) fn put(
+    pub(super) fn apply_entry(
         &mut self,
         object: &StoredObject,
         halls: &HallMap,
@@ -21,20 +21,20 @@
     ) -> Option<FleetChange> {
         match &object.content {
             ObjectContent::Server(record) if halls.has(&record.hall) => {
-                self.put_server(object, record, halls, now)
+                self.apply_server(object, record, halls, now)
             }
             ObjectContent::Server(record) => {
                 let reason = format!("there is no hall {:?}", record.hall);
-                Some(self.put_unreadable(object, &reason))
+                Some(self.apply_unreadable(object, &reason))
             }
-            ObjectContent::Unreadable(reason) => Some(self.put_unreadable(object, reason)),
+            ObjectContent::Unreadable(reason) => Some(self.apply_unreadable(object, reason)),
             _ => None,
         }
     }
 
-    /// An entry says nothing that can be understood. Of a known server it says at least that what it said
-    /// before does not hold any more: it gets no new work until its entry can be read again.
-    fn put_unreadable(&mut self, object: &StoredObject, reason: &str) -> FleetChange {
+    /// Handles an entry that cannot be parsed. What is known of the server may no longer be true,
+    /// so a known server gets no new requests until its entry can be parsed again.
+    fn apply_unreadable(&mut self, object: &StoredObject, reason: &str) -> FleetChange {
         if let Some(entry) = self.entries.get_mut(&*object.name) {
             entry.revision = object.revision;
             entry.server.on_unreadable();
@@ -43,7 +43,7 @@
         FleetChange::Unreadable(format!("{}: {reason}", object.name))
     }
 
-    fn put_server(
+    fn apply_server(
         &mut self,
         object: &StoredObject,
         record: &ServerRecord,
@@ -53,13 +53,13 @@
         let known = self.entries.get(&*record.id);
         let restarted =
             known.is_some_and(|known| server::start_order(record.born, known.stored.born).is_gt());
-        let may_be_copy = !restarted && self.may_be_copy(object, record);
-        let held_until = may_be_copy.then(|| now.plus(store_era::SETTLE_MS));
+        let may_be_stale = !restarted && self.may_be_stale(object, record);
+        let ejected_until = may_be_stale.then(|| now.plus(store_era::SETTLE_MS));
         if !restarted && let Some(entry) = self.entries.get_mut(&*record.id) {
             entry.revision = object.revision;
             let change = entry.update(record, now);
-            if let Some(until) = held_until {
-                entry.server.hold_out(until);
+            if let Some(until) = ejected_until {
+                entry.server.eject_until(until);
             }
             return change;
         }
@@ -69,8 +69,8 @@
         if let Some(notice) = self.past_notices.take(server.start_hash) {
             server.change_notice(|known| *known = notice);
         }
-        if let Some(until) = held_until {
-            server.hold_out(until);
+        if let Some(until) = ejected_until {
+            server.eject_until(until);
         }
         let entry = FleetEntry {
             server: rc::Rc::new(server),
@@ -88,26 +88,30 @@
         })
     }
 
-    /// Whether an entry perhaps shows only what its server was before it drained or went: it is the first of a new era
-    /// of the store, which comes back from an older copy.
-    fn may_be_copy(&self, object: &StoredObject, record: &ServerRecord) -> bool {
+    /// Whether an entry may show the state of its server before it drained or was removed. This is
+    /// possible for its first entry in a new epoch, because the store may have been restored from
+    /// an older copy.
+    fn may_be_stale(&self, object: &StoredObject, record: &ServerRecord) -> bool {
         if record.state == ServerState::Draining {
             return false;
         }
         let Some(known) = self.entries.get(&*record.id) else {
-            let start = ServerStart {
+            let incarnation = ServerIncarnation {
                 id: &record.id,
                 born: record.born,
             };
-            return self.ended.ended_in_former_era(start, object.revision);
+            return self
+                .removed
+                .removed_in_earlier_epoch(incarnation, object.revision);
         };
-        let era = store_position::era_of;
-        known.stored.state == ServerState::Draining && era(object.revision) > era(known.revision)
+        let epoch = store_position::era_of;
+        known.stored.state == ServerState::Draining
+            && epoch(object.revision) > epoch(known.revision)
     }
 }
 
 impl FleetEntry {
-    /// The same start of a server, as it stands now.
+    /// Applies a new entry of the same incarnation.
     fn update(&mut self, record: &ServerRecord, now: Moment) -> Option<FleetChange> {
         let before = self.stored;
         self.stored = StoredState {
@@ -119,8 +123,8 @@
         } else {
             self.server.update(record, now);
         }
-        let turned = before.state != record.state;
+        let has_changed = before.state != record.state;
         let drains = record.state == ServerState::Draining;
-        (turned && drains).then(|| FleetChange::Draining(record.id.clone()))
+        (has_changed && drains).then(|| FleetChange::Draining(record.id.clone()))
     }
 }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -277,7 +277,7 @@
         self.note_standstill(now);
         self.look_at_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
-        self.note_fleet(&changes, "timer");
+        self.log_fleet_changes(&changes, "timer");
         let fleet = self.fleet.borrow();
         let is_gone = |id: &str| !fleet.knows(id);
         self.pool.borrow_mut().on_tick(is_gone, now);
--- a/src/entry/host_fleet.rs
+++ b/src/entry/host_fleet.rs
@@ -1,5 +1,5 @@
-//! What a host does when its fleet changes, whoever tells it: the store, another host, time or its
-//! own requests.
+//! Applies changes of the fleet and logs them, whatever their source is: the store, another host,
+//! time or this host's own requests.
 
 use serde_json::json;
 
@@ -11,83 +11,83 @@
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
-/// Servers that come or go together get a line each up to this number, so that a search for one of
-/// them finds it.
-const SINGLE_LINES: usize = 4;
-/// Of more, this many are named in the line that counts them.
-const NAMED_SERVERS: usize = 16;
+/// Up to this number, servers that are added or removed together get a log line each, so that a
+/// search for a server finds it.
+const MAX_SINGLE_LINES: usize = 4;
+/// Maximum number of servers listed in a log line that covers more of them.
+const MAX_LISTED_SERVERS: usize = 16;
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Takes over a whole list of servers, current up to `revision`.
+    /// Applies a complete list of servers, current up to `revision`.
     pub fn on_server_list(
         &self,
         objects: &[StoredObject],
         revision: u64,
-        missing: MissingSource<'_>,
+        missing_source: MissingSource<'_>,
         source: &str,
     ) {
         let settings = self.settings();
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
-        let changes = fleet.on_list(objects, revision, missing, &settings.halls, now);
+        let changes = fleet.on_list(objects, revision, missing_source, &settings.halls, now);
         drop(fleet);
-        self.note_fleet(&changes, source);
+        self.log_fleet_changes(&changes, source);
         self.on_learned(source);
     }
 
-    /// Takes over changes of servers in their order.
+    /// Applies changes of servers in their order.
     pub fn on_server_changes(
         &self,
         batch: &[ObjectChange],
         span: ChangeSpan,
-        missing: MissingSource<'_>,
+        missing_source: MissingSource<'_>,
         source: &str,
     ) {
         let settings = self.settings();
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
-        let changes = fleet.on_changes(batch, span, missing, &settings.halls, now);
+        let changes = fleet.on_changes(batch, span, missing_source, &settings.halls, now);
         drop(fleet);
-        self.note_fleet(&changes, source);
+        self.log_fleet_changes(&changes, source);
     }
 
-    /// Writes what has changed in the fleet to the log; `source` is who said so. Servers that came or went
-    /// together share a line: one for each of 1,356 servers that 295 starting hosts met made up 45 in 100
-    /// of all lines of a day (counted in its log).
-    pub fn note_fleet(&self, changes: &[FleetChange], source: &str) {
+    /// Logs changes of the fleet; `source` is where they came from. Servers added or removed
+    /// together share a line: with a line for each of the 1,356 servers that 295 starting hosts
+    /// discovered, these made up 45 of 100 log lines of a day.
+    pub fn log_fleet_changes(&self, changes: &[FleetChange], source: &str) {
         let joined = changes.iter().filter_map(FleetChange::joined);
-        self.note_servers(EventCode::ServerJoined, joined, source);
+        self.log_servers(EventCode::ServerJoined, joined, source);
         let gone = changes.iter().filter_map(FleetChange::gone);
-        self.note_servers(EventCode::ServerGone, gone, source);
+        self.log_servers(EventCode::ServerGone, gone, source);
         for change in changes {
-            self.note_change(change, source);
+            self.log_change(change, source);
         }
     }
 
-    fn note_servers<'a>(&self, event: EventCode, ids: impl Iterator<Item = &'a str>, source: &str) {
+    fn log_servers<'a>(&self, event: EventCode, ids: impl Iterator<Item = &'a str>, source: &str) {
         let ids: Vec<&str> = ids.collect();
         let revision = self.fleet.borrow().revision();
-        if ids.len() <= SINGLE_LINES {
+        if ids.len() <= MAX_SINGLE_LINES {
             for id in ids {
                 let fields = json!({ "server": id, "source": source, "revision": revision });
                 self.note(event, fields);
             }
             return;
         }
-        let named = &ids[..ids.len().min(NAMED_SERVERS)];
+        let listed = &ids[..ids.len().min(MAX_LISTED_SERVERS)];
         let fields = json!({
             "count": ids.len(),
-            "servers": named,
+            "servers": listed,
             "source": source,
             "revision": revision,
         });
         self.note(event, fields);
     }
 
-    /// One change that is told by itself.
-    fn note_change(&self, change: &FleetChange, source: &str) {
+    /// Logs a change that gets its own line.
+    fn log_change(&self, change: &FleetChange, source: &str) {
         let (event, server) = match change {
-            // Told with others above.
+            // Logged together above.
             FleetChange::Joined(_) | FleetChange::Gone(_) => return,
             FleetChange::Restarted(id) => {
                 self.pool.borrow_mut().forget(id);
@@ -109,21 +109,21 @@
         self.note(event, fields);
     }
 
-    /// An answer of a server was lost or did not come in time.
+    /// Records that an answer of a server was lost or late.
     pub fn on_server_failure(&self, server: &FleetServer) {
         if server.on_failure(self.now()) {
-            self.note_ejected(server);
+            self.log_ejection(server);
         }
     }
 
-    /// No connection to a server came up.
+    /// Records that no connection to a server could be established.
     pub fn on_server_unreachable(&self, server: &FleetServer) {
         if server.on_unreachable(self.now()) {
-            self.note_ejected(server);
+            self.log_ejection(server);
         }
     }
 
-    fn note_ejected(&self, server: &FleetServer) {
+    fn log_ejection(&self, server: &FleetServer) {
         self.note(EventCode::ServerEjected, json!({ "server": server.id }));
     }
 }
--- a/src/entry/leaving_news.rs
+++ b/src/entry/leaving_news.rs
@@ -67,7 +67,7 @@
     /// Another host tells of servers that leave.
     pub(super) fn on_leaving_told(&self, servers: &[u64], source: &str) {
         for start_hash in servers {
-            let server = self.fleet.borrow().of_start(*start_hash);
+            let server = self.fleet.borrow().of_incarnation(*start_hash);
             let Some(server) = server.filter(|server| !server.is_draining()) else {
                 continue;
             };
@@ -80,7 +80,7 @@
     pub(super) fn on_leaving_tick(&self) {
         let fleet = self.fleet.borrow();
         let is_news = |server| {
-            let server = fleet.of_start(server);
+            let server = fleet.of_incarnation(server);
             server.is_some_and(|server| !server.is_draining())
         };
         self.leaving_news.retain(is_news);
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -188,7 +188,7 @@
 
     /// Takes in a word about a server that is known here; of others nothing can be asked.
     fn on_limit_word(&self, word: &LimitWord, source: &str) {
-        let server = self.fleet.borrow().of_start(word.server);
+        let server = self.fleet.borrow().of_incarnation(word.server);
         let Some(server) = server else {
             return;
         };
@@ -225,7 +225,7 @@
         self.server_limits.questions.forget_abandoned();
         let mut table = self.server_limits.table.borrow_mut();
         let fleet = self.fleet.borrow();
-        table.on_tick(|server| fleet.of_start(server).is_some(), self.now());
+        table.on_tick(|server| fleet.of_incarnation(server).is_some(), self.now());
         drop(fleet);
         let news = table.take_news();
         drop(table);
@@ -244,7 +244,7 @@
     fn on_right_request(&self, request: &SendRightRequest, source: net::SocketAddr) {
         self.on_limit_word(&request.word, "peer");
         // One that this host has not met is nobody's here.
-        let server = self.fleet.borrow().of_start(request.word.server);
+        let server = self.fleet.borrow().of_incarnation(request.word.server);
         let place = server
             .as_ref()
             .map_or(KeeperPlace::Nowhere, |server| self.keeper_of(server));
--- a/src/entry/shared_names.rs
+++ b/src/entry/shared_names.rs
@@ -1,15 +1,15 @@
-//! Names that many servers share: those of services, halls and regions.
+//! Interned names of services, halls and regions, which many servers share.
 
 use std::{collections, rc};
 
-/// One copy of each name.
+/// Stores one copy of each name.
 #[derive(Debug, Default)]
-pub(super) struct SharedNames {
+pub(super) struct NameInterner {
     names: collections::HashSet<rc::Rc<str>>,
 }
 
-impl SharedNames {
-    /// The one copy of `name`.
+impl NameInterner {
+    /// The shared copy of `name`.
     pub(super) fn get(&mut self, name: &str) -> rc::Rc<str> {
         if let Some(known) = self.names.get(name) {
             return rc::Rc::clone(known);
@@ -19,8 +19,9 @@
         shared
     }
 
-    /// Forgets names that no server has any more: entries may name anything.
-    pub(super) fn forget_unused(&mut self) {
+    /// Drops names that no server uses any more. Store entries may contain arbitrary names, so the
+    /// set would grow without bound.
+    pub(super) fn remove_unused(&mut self) {
         self.names.retain(|name| rc::Rc::strong_count(name) > 1);
     }
 }
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -1,4 +1,4 @@
-//! What an entry host believes of servers, under any order of news.
+//! Tests of what an entry host knows of servers, for any order of updates.
 
 use ledgespool::entry::budget::{ColdShare, RetryShare, RetryWindow};
 use ledgespool::entry::fleet::Fleet;
@@ -61,7 +61,7 @@
     }
 }
 
-/// The store shows a whole list at `at` milliseconds.
+/// Applies a complete list from the store at `at` milliseconds.
 fn show_list(
     fleet: &mut Fleet,
     objects: &[StoredObject],
@@ -77,7 +77,7 @@
     )
 }
 
-/// The store shows changes at `at` milliseconds.
+/// Applies changes from the store at `at` milliseconds.
 fn show_changes(
     fleet: &mut Fleet,
     changes: &[ObjectChange],
@@ -124,7 +124,8 @@
 #[test]
 fn a_deletion_counts_after_a_snapshot_although_it_names_the_old_revision() {
     let mut fleet = Fleet::default();
-    // A snapshot at 20 holds a record that last changed at 3; the store shows its end with 3 too.
+    // A snapshot at 20 has a record that last changed at 3; the store reports its deletion with 3
+    // too.
     show_list(&mut fleet, &[object("a", 3)], 20, 0);
     show_changes(&mut fleet, &[change(object("a", 3), true)], span(25), 1);
     assert!(ids(&fleet).is_empty());
@@ -154,7 +155,7 @@
     let noted = show_list(&mut fleet, &[], 9, 1_000);
     assert_eq!(noted.len(), 2);
     assert_eq!(ids(&fleet), ["a", "b"]);
-    // One is back in time, the other is gone.
+    // One entry is restored in time, the other server is removed.
     show_changes(
         &mut fleet,
         &[change(object("a", 11), false)],
@@ -211,7 +212,8 @@
 fn an_end_that_is_told_late_does_not_undo_a_return() {
     let mut fleet = Fleet::default();
     show_list(&mut fleet, &[object("a", 3)], 5, 0);
-    // The return at 9 has come by another way before the end, which lies somewhere up to 8.
+    // The restored entry at 9 arrived from another source before the removal, which happened
+    // somewhere up to 8.
     show_changes(&mut fleet, &[change(object("a", 9), false)], span(9), 1);
     show_changes(&mut fleet, &[change(object("a", 8), true)], span(8), 2);
     assert_eq!(ids(&fleet), ["a"]);
@@ -289,7 +291,7 @@
     assert_eq!(ids(&fleet).len(), 7, "and are gone when they stay away");
 }
 
-/// How long a leaving server serves on in the tests below, in milliseconds.
+/// How long a leaving server continues to serve in the tests below, in milliseconds.
 const LEAVE_MS: u64 = 2_000;
 
 /// A fleet of twelve servers, and their entries.
@@ -306,7 +308,7 @@
     ends.map(|server| change(server, true)).collect()
 }
 
-/// Nothing says that the store was away, so they may as well be leaving.
+/// No outage of the store was detected, so the servers may also be leaving.
 #[test]
 fn a_group_that_vanishes_is_kept_for_less_than_a_leaving_server_serves() {
     let (mut fleet, servers) = twelve_servers();
@@ -321,7 +323,7 @@
 fn what_goes_missing_after_the_stores_return_is_kept_for_less_than_a_leaving_server_serves() {
     let (mut fleet, servers) = twelve_servers();
     fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
-    // This one went missing while the store was away.
+    // This one went missing during the outage of the store.
     show_changes(&mut fleet, &ends(&servers[..1]), span(9), 1_000);
     show_changes(&mut fleet, &ends(&servers[1..2]), span(10), 1_100);
     let gone = |now| {
@@ -332,7 +334,8 @@
     assert_eq!(moments.map(gone), [0, 1, 1]);
 }
 
-/// The return was noticed long after it, so what is missing from the first answer may have left since.
+/// The end of the outage was detected late, so servers missing from the first answer may have left
+/// since.
 #[test]
 fn a_return_that_is_noticed_late_keeps_only_what_goes_missing_after_it() {
     let (mut fleet, servers) = twelve_servers();
@@ -347,7 +350,8 @@
     assert_eq!(ids(&fleet).len(), 10);
 }
 
-/// So many do not leave at once: they have lapsed, though the return was noticed late.
+/// So many servers do not leave at the same time: their entries have expired, although the end of
+/// the outage was detected late.
 #[test]
 fn a_group_that_is_missing_at_a_late_noticed_return_is_kept_for_a_moment() {
     let (mut fleet, servers) = twelve_servers();
@@ -476,7 +480,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the number of hosts, all of them together stay under a cold server's limit.
+    /// For any number of hosts, all of them together stay below a cold server's limit.
     #[test]
     fn hosts_keep_a_cold_servers_limit_without_talk(
         hosts in 1_u32..300,
@@ -509,7 +513,7 @@
         prop_assert!(f64::from(total) <= limit, "{total} of {limit} with {hosts} hosts");
     }
 
-    /// In no window are there more repeats than the share allows.
+    /// No window has more retries than the share allows.
     #[test]
     fn repeats_stay_within_the_share(
         events in prop::collection::vec((0_u64..400, any::<bool>()), 1..400),
@@ -539,7 +543,8 @@
     }
 }
 
-/// Word of an end may overtake that of the change before it, while others between are missing.
+/// The report of a removal may overtake that of the preceding change, while others in between are
+/// missing.
 #[test]
 fn a_late_entry_does_not_bring_an_ended_server_back() {
     let mut fleet = Fleet::default();
@@ -559,8 +564,8 @@
     assert_eq!(ids(&fleet), ["a", "b"], "a later entry counts");
 }
 
-/// More servers ended before the first list than are remembered: hosts that ask for what lies
-/// before must be told to read the whole list.
+/// If more servers were removed before the first list than are remembered, hosts that request
+/// earlier changes must read the complete list.
 #[test]
 fn the_first_list_does_not_forget_that_ends_were_forgotten() {
     let mut fleet = Fleet::default();
@@ -571,7 +576,7 @@
         let now = Moment(number);
         show_changes(&mut fleet, &[born, gone], span(2 * number + 11), now.0);
     }
-    // The first 76 are forgotten, the last of them gone by count 161; the list is older.
+    // The first 76 removals are forgotten, the last of them at revision 161; the list is older.
     show_list(&mut fleet, &[object("z", 5)], 100, 9_000);
     assert!(fleet.changes_since(120, Moment(10_000)).is_none());
     assert!(fleet.changes_since(2_300, Moment(10_000)).is_some());
--- a/tests/entry_fleet_size.rs
+++ b/tests/entry_fleet_size.rs
@@ -1,4 +1,4 @@
-//! What a change of one server costs must not grow with the number of servers.
+//! Tests that the cost of a change of one server does not grow with the number of servers.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     }
 }
 
-fn listed(count: usize) -> Fleet {
+fn fleet_of(count: usize) -> Fleet {
     let objects: Vec<StoredObject> = (0..count).map(|number| object(number, 1, 1)).collect();
     let mut fleet = Fleet::default();
     fleet.on_list(&objects, 1, MissingSource::Store, &halls(), Moment(0));
@@ -61,7 +61,7 @@
 fn changes_of_servers_do_not_touch_those_that_have_not_changed() {
     const CHANGES: usize = 50;
     for count in [100, 1_000, 10_000] {
-        let mut fleet = listed(count);
+        let mut fleet = fleet_of(count);
         let before = fleet.servers_indexed();
         for number in 0..CHANGES {
             let revision = 2 + number as u64;
@@ -74,11 +74,12 @@
     }
 }
 
-/// A host knows every server of the deployment: with 20,000 of them half a kilobyte each is a twelfth of what it may use.
+/// A host knows every server of the deployment. With 20,000 servers, half a kilobyte each would be
+/// a twelfth of the memory that it may use.
 #[test]
 fn a_server_that_got_no_request_takes_a_quarter_of_a_kilobyte_and_shares_its_names() {
     assert!(size_of::<FleetServer>() <= 256);
-    let fleet = listed(100);
+    let fleet = fleet_of(100);
     let mut names = fleet.servers().map(|server| Rc::as_ptr(&server.hall));
     let first = names.next().expect("a server");
     assert!(names.all(|name| std::ptr::eq(name, first)));
@@ -87,7 +88,7 @@
 #[test]
 fn the_loss_of_a_third_of_all_servers_is_told_without_the_whole_list() {
     for count in [300, 3_000, 9_000] {
-        let mut fleet = listed(count);
+        let mut fleet = fleet_of(count);
         for number in 0..count / 3 {
             apply(&mut fleet, object(number, 1, 2 + number as u64), true);
         }
@@ -101,12 +102,12 @@
 fn servers_are_found_alike_after_any_changes_and_after_a_list() {
     let mut random = SmallRng::seed_from_u64(11);
     for _ in 0..20 {
-        let mut fleet = listed(40);
+        let mut fleet = fleet_of(40);
         let mut known: BTreeMap<usize, u64> = (0..40).map(|number| (number, 1)).collect();
         for revision in 2..200 {
             let number = random.random_range(0..60);
             let is_end = random.random_bool(0.4) && known.contains_key(&number);
-            // Some start again under their identity.
+            // Some servers restart under their identity.
             let born = revision;
             apply(&mut fleet, object(number, born, revision), is_end);
             if is_end {
@@ -122,14 +123,16 @@
         let mut plain = Fleet::default();
         plain.on_list(&objects, 1, MissingSource::Store, &halls(), Moment(0));
         for service in SERVICES {
-            let starts = |fleet: &Fleet| -> Vec<u64> {
+            let incarnations = |fleet: &Fleet| -> Vec<u64> {
                 let servers = fleet.of_service(service).iter();
                 servers.map(|server| server.start_hash).collect()
             };
-            assert_eq!(starts(&fleet), starts(&plain), "{service}");
-            for start in starts(&plain) {
-                let found = fleet.of_start(start).expect("it is found by its start");
-                assert_eq!(found.start_hash, start);
+            assert_eq!(incarnations(&fleet), incarnations(&plain), "{service}");
+            for incarnation in incarnations(&plain) {
+                let found = fleet
+                    .of_incarnation(incarnation)
+                    .expect("it is found by its start");
+                assert_eq!(found.start_hash, incarnation);
             }
         }
     }
