--- a/src/entry/offer_record.rs
+++ b/src/entry/offer_record.rs
@@ -1,27 +1,28 @@
-//! What was expected of the server that a request was offered to, and what came: the inputs of a
-//! choice, as the log tells them.
+//! The expected and the actual answer of the server that got a request, as written to the log.
 
-/// What a host expects of one server for one request, and what it bases that on.
+/// What a host expects of one server for one request, with the inputs of that estimate.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ExpectedAnswer {
-    /// The server's place in the object's rank, from 0; on routes without objects, in the draw.
+    /// The server's position in the object's ranking, from 0; on routes without objects, its
+    /// position in the random sample.
     pub place: usize,
-    /// Whether the server is taken to know the object, or the route has none.
+    /// Whether the server is assumed to have the object cached; also true if the route has no
+    /// objects.
     pub knows_object: bool,
-    /// Requests that are taken to be at the server.
+    /// Estimated number of requests at the server.
     pub load: f64,
-    /// How long ago the server last told its load, in milliseconds; `None` if it never did.
+    /// Age of the server's last load report, in milliseconds; `None` if it never reported one.
     pub load_age_ms: Option<u64>,
     /// The wait for a slot, in milliseconds.
     pub wait_ms: f64,
-    /// The work, in milliseconds.
+    /// The processing time, in milliseconds.
     pub work_ms: f64,
-    /// The way there and back, in milliseconds.
+    /// The round trip time, in milliseconds.
     pub way_ms: f64,
 }
 
 impl ExpectedAnswer {
-    /// The time from the offer to the answer, in milliseconds.
+    /// The expected time from the start of the attempt to the answer, in milliseconds.
     ///
     /// ```
     /// use ledgespool::entry::offer_record::ExpectedAnswer;
@@ -42,13 +43,13 @@
     }
 }
 
-/// The offer that was answered.
+/// The attempt that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct OfferRecord {
-    /// What was expected.
+    /// The expected answer.
     pub expected: ExpectedAnswer,
-    /// From the offer to the answer, in milliseconds.
+    /// Time from the start of the attempt to the answer, in milliseconds.
     pub took_ms: u64,
-    /// Servers that the request was offered to before.
+    /// Number of earlier attempts to send the same request.
     pub offers_before: usize,
 }
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -1,10 +1,11 @@
-//! What a host learns from how an offer ended, and whether the request may go on.
+//! Handles the outcome of an attempt: what the host learns from it, and whether another attempt is
+//! allowed.
 
 use std::rc;
 
 use serde_json::json;
 
-use super::OfferSeries;
+use super::RequestAttempts;
 use crate::entry::exchange::{LossCause, OfferEnd};
 use crate::entry::fleet_server::FleetServer;
 use crate::entry::quarantine_role;
@@ -16,16 +17,16 @@
 use crate::rollout::message::RolloutAnswer;
 use crate::timer::Moment;
 
-/// When a request may come back whose last refusal came from a server with free slots, in
-/// milliseconds: at once, since nothing must become free first.
-const SHED_COME_BACK_MS: u64 = 10;
+/// Retry-after time of a request last refused by a server with free slots, in milliseconds. It is
+/// short, because no slot has to become free first.
+const SHED_RETRY_AFTER_MS: u64 = 10;
 
-impl<W: WireProtocol> OfferSeries<'_, W> {
-    /// Tells how it ended to the roll-out that the server's service may be in.
+impl<W: WireProtocol> RequestAttempts<'_, W> {
+    /// Reports the outcome to the service's rollout, if there is one.
     pub(super) fn count_for_rollout(
         &self,
         server: &FleetServer,
-        end: &OfferEnd,
+        outcome: &OfferEnd,
         began: Moment,
         known_object: bool,
     ) {
@@ -36,11 +37,11 @@
             self.first_ms()
         };
         let took_ms = now.since(began);
-        // What comes within the route's goal is good, however fast others are.
+        // An answer within the route's goal is good, even if other servers are faster.
         let is_slow = !server.is_cold(now)
             && took_ms > self.open.route.goal_ms
             && took_ms as f64 > expected_ms * rollout_role::SLOW_FACTOR;
-        let is_bad = match end {
+        let is_bad = match outcome {
             OfferEnd::Answered(answer) => answer.head.status.is_server_error() || is_slow,
             OfferEnd::TimedOut | OfferEnd::Lost(_) => true,
             OfferEnd::NotSent
@@ -63,7 +64,7 @@
         began: Moment,
         known_object: bool,
     ) -> RequestFailure {
-        self.note_offer(server, "timed out");
+        self.log_failed_attempt(server, "timed out");
         let now = self.host.now();
         let usual_ms = if known_object {
             self.usual_ms()
@@ -85,12 +86,13 @@
     }
 
     pub(super) fn on_not_sent(&self, server: &FleetServer) {
-        self.note_offer(server, "not reached");
+        self.log_failed_attempt(server, "not reached");
         self.host.on_server_unreachable(server);
     }
 
-    /// A server turned it away. One with free slots that wants no rest is asked once more: it may take the next one,
-    /// and another server would have to do a first run on the object.
+    /// The server refused the request. A server with free slots that did not ask for a backoff is
+    /// tried a second time: it may accept the request now, and on another server the request would
+    /// be a cache miss.
     pub(super) fn on_not_run(
         &mut self,
         server: &FleetServer,
@@ -98,23 +100,23 @@
         had_room: bool,
     ) {
         self.host.metrics.borrow_mut().shed += 1;
-        self.note_offer(server, status.as_str());
+        self.log_failed_attempt(server, status.as_str());
         if !had_room {
-            self.on_sent(self.not_run());
+            self.record_sent(self.not_run());
             return;
         }
-        self.on_sent(RequestFailure::not_run(SHED_COME_BACK_MS));
-        let wants_rest = server.notice().is_resting(self.host.now());
-        if !self.asked_again && !wants_rest {
-            self.asked_again = true;
+        self.record_sent(RequestFailure::not_run(SHED_RETRY_AFTER_MS));
+        let wants_backoff = server.notice().is_resting(self.host.now());
+        if !self.retried_same_server && !wants_backoff {
+            self.retried_same_server = true;
             self.tried.retain(|id| **id != *server.id);
         }
     }
 
     pub(super) fn on_other_server(&mut self, server: &FleetServer) {
-        self.note_offer(server, "another server has the address");
+        self.log_failed_attempt(server, "another server has the address");
         server.on_displaced();
-        self.on_sent(self.not_run());
+        self.record_sent(self.not_run());
     }
 
     pub(super) fn on_lost(
@@ -122,7 +124,7 @@
         server: &rc::Rc<FleetServer>,
         cause: LossCause,
     ) -> Result<(), RequestFailure> {
-        self.note_offer(server, cause.as_str());
+        self.log_failed_attempt(server, cause.as_str());
         self.host.on_server_failure(server);
         if cause.has_broken() {
             quarantine_role::on_broken(self.host, server, self.open.fingerprint());
@@ -131,11 +133,11 @@
         if !self.open.forward.may_repeat {
             return Err(failure);
         }
-        self.on_sent(failure);
+        self.record_sent(failure);
         Ok(())
     }
 
-    const fn on_sent(&mut self, failure: RequestFailure) {
+    const fn record_sent(&mut self, failure: RequestFailure) {
         self.sent += 1;
         self.last = Some(failure);
     }
@@ -154,7 +156,7 @@
         self.host.first_ms(&route.name, route.goal_ms)
     }
 
-    pub(super) fn note_offer(&self, server: &FleetServer, result: &str) {
+    pub(super) fn log_failed_attempt(&self, server: &FleetServer, result: &str) {
         let host = self.host;
         let open = self.open;
         host.metrics.borrow_mut().on_offer_failed(result);
--- a/src/entry/offers/mod.rs
+++ b/src/entry/offers/mod.rs
@@ -1,5 +1,5 @@
-//! Offers a caller's request to one backend server after the other, until one answers or nothing
-//! more may be tried. What follows from how an offer ended stands in `ends`.
+//! Sends a caller's request to one backend server after another, until one answers or no further
+//! attempt is allowed. The submodule `outcome` handles the outcome of each attempt.
 
 mod ends;
 
@@ -19,11 +19,12 @@
 use crate::rollout::plan::VersionRule;
 use crate::timer::Moment;
 
-/// A request that was not sent for want of a connection may be offered to this many servers.
-const MAX_OFFERS: u32 = 4;
-/// With less time left than this, in milliseconds, a request is not offered: no answer would come
-/// back in time.
-const LEAST_TIME_MS: u64 = 20;
+/// Maximum number of servers that are tried for a request, including those to which no connection
+/// could be established.
+const MAX_ATTEMPTS: u32 = 4;
+/// A request with less time left than this, in milliseconds, is not sent, because its answer would
+/// be late.
+const MIN_TIME_LEFT_MS: u64 = 20;
 /// A request's answer and the server that gave it.
 #[derive(Debug)]
 pub(super) struct AnsweredRequest {
@@ -31,12 +32,12 @@
     pub(super) server: rc::Rc<FleetServer>,
     /// Its answer.
     pub(super) answer: Box<ServerAnswer>,
-    /// What was expected of it, and what came.
+    /// The expected and the actual answer.
     pub(super) offer: OfferRecord,
 }
 
-/// Offers the request, if its customer's limit has room, until a server answers or nothing more may be
-/// tried.
+/// Sends the request, if its customer's limit allows it, until a server answers or no further
+/// attempt is allowed.
 pub(super) async fn run<W: WireProtocol>(
     host: &rc::Rc<EntryHost<W>>,
     open: &OpenRequest,
@@ -48,86 +49,88 @@
     if let Some(customer) = &open.customer {
         host.admit(customer).await?;
     }
-    offer_in_turn(host, open, admission).await
+    try_servers(host, open, admission).await
 }
 
-async fn offer_in_turn<W: WireProtocol>(
+async fn try_servers<W: WireProtocol>(
     host: &rc::Rc<EntryHost<W>>,
     open: &OpenRequest,
     admission: SuspectAdmission,
 ) -> Result<AnsweredRequest, RequestFailure> {
-    let mut series = OfferSeries {
+    let mut attempts = RequestAttempts {
         host,
         open,
         admission,
         tried: Vec::new(),
         sent: 0,
-        offers: 0,
-        asked_again: false,
-        counted: false,
+        attempt_count: 0,
+        retried_same_server: false,
+        is_counted: false,
         last: None,
     };
-    for _ in 0..MAX_OFFERS {
-        let Some((chosen, right)) = series.next_server().await? else {
+    for _ in 0..MAX_ATTEMPTS {
+        let Some((chosen, token)) = attempts.next_server().await? else {
             break;
         };
-        if let Some(answered) = series.offer(chosen, right).await? {
+        if let Some(answered) = attempts.offer(chosen, token).await? {
             return Ok(answered);
         }
-        if series.sent >= open.route.attempts.max(1) {
+        if attempts.sent >= open.route.attempts.max(1) {
             break;
         }
     }
-    Err(series.last.unwrap_or_else(|| series.not_run()))
+    Err(attempts.last.unwrap_or_else(|| attempts.not_run()))
 }
 
-/// The offers of one request so far.
-struct OfferSeries<'a, W> {
+/// The attempts to send one request.
+struct RequestAttempts<'a, W> {
     host: &'a rc::Rc<EntryHost<W>>,
     open: &'a OpenRequest,
     admission: SuspectAdmission,
-    /// The servers that it must not be offered to any more.
+    /// The servers that must not be tried again.
     tried: Vec<String>,
-    /// How often it was sent; an offer that found no connection is not counted.
+    /// How often the request was sent; attempts without a connection do not count.
     sent: u32,
-    /// How often it was offered.
-    offers: usize,
-    /// Whether a server that turned it away in spite of free slots was asked again.
-    asked_again: bool,
-    /// Whether the request was counted for the repeat budget.
-    counted: bool,
-    /// What came of the last time that it was sent.
+    /// Number of attempts.
+    attempt_count: usize,
+    /// Whether a server that refused the request despite free slots was tried a second time.
+    retried_same_server: bool,
+    /// Whether the request was counted for the retry budget.
+    is_counted: bool,
+    /// The outcome of the last time that the request was sent.
     last: Option<RequestFailure>,
 }
 
-impl<W: WireProtocol> OfferSeries<'_, W> {
-    /// The server for the next offer, and the right to send to it; `None` if there must be no more.
+impl<W: WireProtocol> RequestAttempts<'_, W> {
+    /// The server for the next attempt, and the token to send to it; `None` if no further attempt
+    /// is allowed.
     async fn next_server(&mut self) -> Result<Option<(ChosenServer, SendRight)>, RequestFailure> {
-        if self.open.deadline.since(self.host.now()) < LEAST_TIME_MS {
+        if self.open.deadline.since(self.host.now()) < MIN_TIME_LEFT_MS {
             return Ok(None);
         }
-        // It may have been barred while it waited, or by its own last offer.
-        let is_first_of_trial = self.admission == SuspectAdmission::Trial && self.offers == 0;
-        if !is_first_of_trial && self.host.is_barred(self.open) {
+        // The request may have been blocked while it waited, or because of its own last attempt.
+        let is_first_probe_attempt =
+            self.admission == SuspectAdmission::Trial && self.attempt_count == 0;
+        if !is_first_probe_attempt && self.host.is_barred(self.open) {
             return Err(self.last.unwrap_or(RequestFailure::QUARANTINED));
         }
-        let chosen = self.choose_with_right().await;
-        // What a server has shown says more than that no other is left.
-        let (chosen, right) = chosen.map_err(|failure| self.last.unwrap_or(failure))?;
-        if !self.is_within_budget() {
+        let chosen = self.choose_with_token().await;
+        // The outcome of an earlier attempt is more informative than the lack of another server.
+        let (chosen, token) = chosen.map_err(|failure| self.last.unwrap_or(failure))?;
+        if !self.count_attempt() {
             return Ok(None);
         }
         self.tried.push(chosen.server.id.to_string());
-        self.offers += 1;
-        Ok(Some((chosen, right)))
+        self.attempt_count += 1;
+        Ok(Some((chosen, token)))
     }
 
-    /// Chooses a server, and finds the right to send to it where it names a limit.
-    async fn choose_with_right(&self) -> Result<(ChosenServer, SendRight), RequestFailure> {
+    /// Selects a server, and gets a token to send to it if it advertises a limit.
+    async fn choose_with_token(&self) -> Result<(ChosenServer, SendRight), RequestFailure> {
         for _ in 0..server_limit::MOST_ASKED {
             let chosen = self.choose()?;
-            if let Some(right) = self.host.find_send_right(&chosen.server).await {
-                return Ok((chosen, right));
+            if let Some(token) = self.host.find_send_right(&chosen.server).await {
+                return Ok((chosen, token));
             }
         }
         let come_back_ms = self.usual_ms() as u64;
@@ -142,10 +145,10 @@
         let versions = self
             .host
             .version_rule(&open.service, open.object, is_repeat);
-        let mut choice = self.draw(versions, now);
+        let mut choice = self.choose_among(versions, now);
         if let (ServerChoice::Refuse { .. }, VersionRule::Only(version)) = (&choice, versions) {
-            // The new version has no room yet, or no server any more.
-            choice = self.draw(VersionRule::Except(version), now);
+            // The new version has no free capacity yet, or no server any more.
+            choice = self.choose_among(VersionRule::Except(version), now);
         }
         match choice {
             ServerChoice::Offer(chosen) => {
@@ -168,7 +171,7 @@
         }
     }
 
-    fn draw(&self, versions: VersionRule, now: Moment) -> ServerChoice {
+    fn choose_among(&self, versions: VersionRule, now: Moment) -> ServerChoice {
         let host = self.host;
         let open = self.open;
         let route = &open.route;
@@ -209,19 +212,19 @@
         rule.map_or(0.0, |rule| rule.cold_per_s)
     }
 
-    /// Counts the offer that comes; a repeat must be within the service's budget.
-    fn is_within_budget(&mut self) -> bool {
+    /// Counts the next attempt; a retry must be within the service's budget.
+    fn count_attempt(&mut self) -> bool {
         if self.sent > 0 {
             return self.host.try_repeat(&self.open.service);
         }
-        if !self.counted {
-            self.counted = true;
+        if !self.is_counted {
+            self.is_counted = true;
             self.host.on_first_offer(&self.open.service);
         }
         true
     }
 
-    /// Offers it once; `None` if another server may be tried.
+    /// Sends the request once; returns `None` if another server may be tried.
     async fn offer(
         &mut self,
         chosen: ChosenServer,
@@ -235,16 +238,16 @@
             deadline: self.open.deadline,
             right,
         };
-        let end = exchange::offer(self.host, &server, &self.open.forward, terms).await;
-        self.count_for_rollout(&server, &end, began, known_object);
-        match end {
+        let outcome = exchange::offer(self.host, &server, &self.open.forward, terms).await;
+        self.count_for_rollout(&server, &outcome, began, known_object);
+        match outcome {
             OfferEnd::Answered(answer) => {
                 self.on_answer(&server, began, known_object);
                 self.host.on_success(self.open, &answer);
                 let offer = OfferRecord {
                     expected,
                     took_ms: self.host.now().since(began),
-                    offers_before: self.offers - 1,
+                    offers_before: self.attempt_count - 1,
                 };
                 return Ok(Some(AnsweredRequest {
                     server,
@@ -254,8 +257,10 @@
             }
             OfferEnd::TimedOut => return Err(self.on_timeout(&server, began, known_object)),
             OfferEnd::NotSent => self.on_not_sent(&server),
-            OfferEnd::Withheld(cause) => self.note_offer(&server, cause.as_str()),
-            OfferEnd::OutOfTime => self.note_offer(&server, "out of time before it was sent"),
+            OfferEnd::Withheld(cause) => self.log_failed_attempt(&server, cause.as_str()),
+            OfferEnd::OutOfTime => {
+                self.log_failed_attempt(&server, "out of time before it was sent")
+            }
             OfferEnd::NotRun { status, had_room } => self.on_not_run(&server, status, had_room),
             OfferEnd::OtherServer => self.on_other_server(&server),
             OfferEnd::Lost(cause) => self.on_lost(&server, cause)?,
