--- a/src/entry/offer_record.rs
+++ b/src/entry/attempt_record.rs
@@ -25,7 +25,7 @@
     /// The expected time from the start of the attempt to the answer, in milliseconds.
     ///
     /// ```
-    /// use ledgespool::entry::offer_record::ExpectedAnswer;
+    /// use ledgespool::entry::attempt_record::ExpectedAnswer;
     /// let expected = ExpectedAnswer {
     ///     place: 0,
     ///     knows_object: true,
--- a/src/entry/offers/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -1,15 +1,15 @@
 //! Sends a caller's request to one backend server after another, until one answers or no further
 //! attempt is allowed. The submodule `outcome` handles the outcome of each attempt.
 
-mod ends;
+mod outcome;
 
 use std::rc;
 
+use super::attempt_record::OfferRecord;
 use super::choice::{self, ChoiceQuery, ChosenServer, NoServer, ServerChoice};
 use super::exchange::{self, OfferEnd, OfferTerms, ServerAnswer};
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
-use super::offer_record::OfferRecord;
 use super::open_request::OpenRequest;
 use super::quarantine_role::SuspectAdmission;
 use super::request_failure::RequestFailure;
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -15,13 +15,13 @@
 use rand::rngs::SmallRng;
 use rand::seq::{IteratorRandom as _, index};
 
+use super::attempt_record::ExpectedAnswer;
 use super::budget;
 use super::choice_refusal::{next_available_at, refuse, refuse_until};
 use super::fleet_server::FleetServer;
 use super::hash;
-use super::offer_record::ExpectedAnswer;
-use super::region_distance::RegionDistances;
-use super::region_shares::RegionWeights;
+use super::region_latency::RegionDistances;
+use super::region_weights::RegionWeights;
 use super::server_limit::table::ServerLimitTable;
 use super::server_notice::ServerStanding;
 use crate::rollout::plan::VersionRule;
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -6,15 +6,15 @@
 
 use std::{cmp, collections, rc};
 
-use super::ended_servers::{RemovalKind, RemovedServers, ServerIncarnation};
 use super::fleet_change::{ChangeSpan, FleetChange, LapsedServer};
 use super::fleet_index::FleetIndex;
 use super::fleet_server::FleetServer;
 use super::lapse_hold::{LapseHold, MissingSource, ReturnSight};
+use super::name_interner::NameInterner;
 use super::past_notices::PastNotices;
+use super::removed_servers::{RemovalKind, RemovedServers, ServerIncarnation};
 use super::server::{self, ServerObject, ServerRecord, ServerState};
 use super::settings::HallMap;
-use super::shared_names::NameInterner;
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use crate::timer::Moment;
 
--- a/src/entry/fleet_put.rs
+++ b/src/entry/fleet_apply.rs
@@ -2,10 +2,10 @@
 
 use std::rc;
 
-use super::ended_servers::ServerIncarnation;
 use super::fleet::{Fleet, FleetEntry, StoredState};
 use super::fleet_change::FleetChange;
 use super::fleet_server::FleetServer;
+use super::removed_servers::ServerIncarnation;
 use super::server::{self, ServerRecord, ServerState};
 use super::settings::HallMap;
 use super::store::{ObjectContent, StoredObject};
--- a/src/entry/fleet_server.rs
+++ b/src/entry/fleet_server.rs
@@ -4,10 +4,10 @@
 use std::{cell, net, rc};
 
 use super::hash;
-use super::seen_server::{LoadReport, ServerObservations, Slowdown};
+use super::name_interner::NameInterner;
 use super::server::{ServerLoad, ServerRecord, ServerState};
 use super::server_notice::{ServerNotice, ServerStanding};
-use super::shared_names::NameInterner;
+use super::server_observations::{LoadReport, ServerObservations, Slowdown};
 use crate::rollout::order::VersionTag;
 use crate::timer::Moment;
 
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -1,7 +1,7 @@
 //! The state of one entry host, shared by the tasks of its one thread.
 //!
 //! What a host does with one part of its state stands with that part: [`super::evacuation`],
-//! [`super::route_times`], [`super::region_shares`], [`super::host_fleet`], [`super::host_budget`], [`super::stop`], [`super::watch_role`] and
+//! [`super::route_times`], [`super::region_weights`], [`super::host_fleet`], [`super::host_budget`], [`super::stop`], [`super::watch_role`] and
 //! [`super::self_report`]; [`super::lifecycle`] runs it.
 
 use std::{cell, collections, rc};
@@ -28,8 +28,8 @@
 use super::peers::PeerTable;
 use super::pool::ServerPool;
 use super::quarantine_role::QuarantineRole;
-use super::region_distance::RegionDistances;
-use super::region_shares::WeightCache;
+use super::region_latency::RegionDistances;
+use super::region_weights::WeightCache;
 use super::rollout_role::RolloutRole;
 use super::route_times::RouteTimeTable;
 use super::server_limit_role::ServerLimitRole;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -2,7 +2,7 @@
 //! that tells of configuration and servers.
 //!
 //! The module tree is the path of a request. [`listen`] accepts it, [`request`] serves it:
-//! `open_request` reads it and finds its [`configuration`] route, `offers` offers it to the backend
+//! `open_request` reads it and finds its [`configuration`] route, `attempts` sends it to the backend
 //! servers that [`choice`] names from the [`fleet`], over the connections of [`pool`], within the
 //! limits of [`budget`]; `request_failure` says what else a caller may hear. [`follow`] keeps
 //! configuration and fleet up to date from an [`store::ObjectStore`], [`peers`] does the same from
@@ -19,6 +19,8 @@
 pub mod answer;
 mod answer_claims;
 mod answer_end;
+pub mod attempt_record;
+mod attempts;
 pub mod budget;
 pub mod catch_up;
 pub mod choice;
@@ -27,14 +29,13 @@
 pub mod configuration_draft;
 pub mod customer;
 pub mod decision_log;
-mod ended_servers;
 pub mod evacuation;
 pub mod exchange;
 pub mod fingerprint;
 pub mod fleet;
+mod fleet_apply;
 pub mod fleet_change;
 mod fleet_index;
-mod fleet_put;
 pub mod fleet_server;
 pub mod fleet_told;
 pub mod follow;
@@ -55,9 +56,8 @@
 pub mod limits;
 pub mod listen;
 pub mod metrics_page;
+mod name_interner;
 pub mod news_part;
-pub mod offer_record;
-mod offers;
 mod open_request;
 pub mod packed_servers;
 pub mod partial_news;
@@ -68,22 +68,22 @@
 pub mod pool;
 pub mod quarantine;
 mod quarantine_role;
-pub mod region_distance;
-pub mod region_shares;
+pub mod region_latency;
+pub mod region_weights;
+mod removed_servers;
 pub mod request;
 mod request_failure;
 pub mod rollout_role;
 pub mod route_times;
-mod seen_server;
 pub mod self_report;
 mod send_gate;
 pub mod server;
 pub mod server_limit;
 mod server_limit_role;
 pub mod server_notice;
+mod server_observations;
 pub mod server_word;
 pub mod settings;
-mod shared_names;
 pub mod stop;
 pub mod store;
 mod store_era;
--- a/src/entry/region_distance.rs
+++ b/src/entry/region_latency.rs
@@ -30,7 +30,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ledgespool::entry::region_distance::RegionDistances;
+    /// use ledgespool::entry::region_latency::RegionDistances;
     /// let mut distances = RegionDistances::default();
     /// assert_eq!(distances.connect_limit("perth"), Duration::from_millis(700));
     /// distances.on_connected("perth", Duration::from_millis(100));
@@ -62,7 +62,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ledgespool::entry::region_distance::RegionDistances;
+    /// use ledgespool::entry::region_latency::RegionDistances;
     /// let mut distances = RegionDistances::default();
     /// assert!(distances.way_ms("kal", "perth") > distances.way_ms("perth", "perth"));
     /// distances.on_connected("kal", Duration::from_millis(220));
--- a/src/entry/region_shares.rs
+++ b/src/entry/region_weights.rs
@@ -57,7 +57,7 @@
     /// Computes the weights for objects of the callers in region `own`.
     ///
     /// ```
-    /// use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
+    /// use ledgespool::entry::region_weights::{RegionRoom, RegionWeights};
     /// let capacity = |region: &str, hosts, slots| RegionRoom {
     ///     region: region.to_owned(),
     ///     hosts,
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -7,6 +7,7 @@
 use serde_json::json;
 
 use super::answer::{AnswerBody, StreamEnd};
+use super::attempts::{self, AnsweredRequest};
 use super::configuration::RouteRule;
 use super::customer::CustomerRule;
 use super::decision_log::LineWeight;
@@ -15,7 +16,6 @@
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::metrics_page::RequestEnd;
-use super::offers::{self, AnsweredRequest};
 use super::open_request::OpenRequest;
 use super::pool::ServerSender;
 use super::quarantine_role;
@@ -40,7 +40,7 @@
         Ok(open) => {
             guard.route = Some(rc::Rc::clone(&open.route));
             guard.customer.clone_from(&open.customer);
-            match offers::run(&host, &open).await {
+            match attempts::run(&host, &open).await {
                 Ok(answered) => pass_on(&host, &open, answered),
                 Err(failure) => {
                     guard.fingerprint = Some(open.fingerprint());
--- a/src/losses/line.rs
+++ b/src/losses/line.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize as _;
 use serde_json::Value;
 
-use crate::entry::offer_record::OfferRecord;
+use crate::entry::attempt_record::OfferRecord;
 use crate::error::{Error, Result};
 use crate::event::EventCode;
 use crate::result_code::ResultCode;
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -12,8 +12,8 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_distance::RegionDistances;
-use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
+use ledgespool::entry::region_latency::RegionDistances;
+use ledgespool::entry::region_weights::{RegionRoom, RegionWeights};
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::server_limit::rate::NamedLimit;
 use ledgespool::entry::server_limit::table::ServerLimitTable;
