--- a/src/entry/attempt_record.rs
+++ b/src/entry/attempt_record.rs
@@ -8,7 +8,8 @@
     pub place: usize,
     /// Whether the server is assumed to have the object cached; also true if the route has no
     /// objects.
-    pub knows_object: bool,
+    #[serde(rename = "knows_object")]
+    pub object_cached: bool,
     /// Estimated number of requests at the server.
     pub load: f64,
     /// Age of the server's last load report, in milliseconds; `None` if it never reported one.
@@ -18,7 +19,8 @@
     /// The processing time, in milliseconds.
     pub work_ms: f64,
     /// The round trip time, in milliseconds.
-    pub way_ms: f64,
+    #[serde(rename = "way_ms")]
+    pub rtt_ms: f64,
 }
 
 impl ExpectedAnswer {
@@ -28,28 +30,29 @@
     /// use ledgespool::entry::attempt_record::ExpectedAnswer;
     /// let expected = ExpectedAnswer {
     ///     place: 0,
-    ///     knows_object: true,
+    ///     object_cached: true,
     ///     load: 1.0,
     ///     load_age_ms: None,
     ///     wait_ms: 5.0,
     ///     work_ms: 100.0,
-    ///     way_ms: 40.0,
+    ///     rtt_ms: 40.0,
     /// };
     /// assert!((expected.total_ms() - 145.0).abs() < 1e-9);
     /// ```
     #[must_use]
     pub const fn total_ms(&self) -> f64 {
-        self.wait_ms + self.work_ms + self.way_ms
+        self.wait_ms + self.work_ms + self.rtt_ms
     }
 }
 
 /// The attempt that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct OfferRecord {
+pub struct AttemptRecord {
     /// The expected answer.
     pub expected: ExpectedAnswer,
     /// Time from the start of the attempt to the answer, in milliseconds.
     pub took_ms: u64,
     /// Number of earlier attempts to send the same request.
-    pub offers_before: usize,
+    #[serde(rename = "offers_before")]
+    pub earlier_attempts: usize,
 }
--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -5,7 +5,7 @@
 
 use std::rc;
 
-use super::attempt_record::OfferRecord;
+use super::attempt_record::AttemptRecord;
 use super::choice::{self, ChoiceQuery, ChosenServer, NoServer, ServerChoice};
 use super::exchange::{self, OfferEnd, OfferTerms, ServerAnswer};
 use super::fleet_server::FleetServer;
@@ -33,7 +33,7 @@
     /// Its answer.
     pub(super) answer: Box<ServerAnswer>,
     /// The expected and the actual answer.
-    pub(super) offer: OfferRecord,
+    pub(super) attempt: AttemptRecord,
 }
 
 /// Sends the request, if its customer's limit allows it, until a server answers or no further
@@ -72,7 +72,7 @@
         let Some((chosen, token)) = attempts.next_server().await? else {
             break;
         };
-        if let Some(answered) = attempts.offer(chosen, token).await? {
+        if let Some(answered) = attempts.attempt(chosen, token).await? {
             return Ok(answered);
         }
         if attempts.sent >= open.route.attempts.max(1) {
@@ -225,7 +225,7 @@
     }
 
     /// Sends the request once; returns `None` if another server may be tried.
-    async fn offer(
+    async fn attempt(
         &mut self,
         chosen: ChosenServer,
         right: SendRight,
@@ -244,15 +244,15 @@
             OfferEnd::Answered(answer) => {
                 self.on_answer(&server, began, known_object);
                 self.host.on_success(self.open, &answer);
-                let offer = OfferRecord {
+                let attempt = AttemptRecord {
                     expected,
                     took_ms: self.host.now().since(began),
-                    offers_before: self.attempt_count - 1,
+                    earlier_attempts: self.attempt_count - 1,
                 };
                 return Ok(Some(AnsweredRequest {
                     server,
                     answer,
-                    offer,
+                    attempt,
                 }));
             }
             OfferEnd::TimedOut => return Err(self.on_timeout(&server, began, known_object)),
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -345,35 +345,35 @@
     let slots = f64::from(server.slots);
     let load = server.expected_load(query.now);
     let queued = (load + 1.0 - slots).max(0.0);
-    let knows_object = place == 0
+    let object_cached = place == 0
         || query
             .object
             .is_none_or(|object| server.knows_object(object));
-    let usual_ms = if knows_object {
+    let usual_ms = if object_cached {
         query.usual_ms
     } else {
         query.first_ms
     };
     let slowdown = server.pace(query.now);
-    let way_ms = query.distances.way_ms(&server.region, query.region);
+    let rtt_ms = query.distances.way_ms(&server.region, query.region);
     // The owner of the server's limit is in the server's region and is asked for a token first,
     // which takes one more round trip.
     let is_limited = query.limits.word_of(server.start_hash).is_some();
     let round_trips = if is_limited { 2.0 } else { 1.0 };
     ExpectedAnswer {
         place,
-        knows_object,
+        object_cached,
         load,
         load_age_ms: server.told_age_ms(query.now),
         wait_ms: query.usual_ms * slowdown * queued / slots,
         work_ms: usual_ms * slowdown,
-        way_ms: way_ms * round_trips,
+        rtt_ms: rtt_ms * round_trips,
     }
 }
 
 /// Cost of an answer to its own caller and to the requests behind it, in milliseconds.
 fn cost_ms(query: &ChoiceQuery<'_>, expected: &ExpectedAnswer) -> f64 {
-    let miss_cost_ms = if expected.knows_object {
+    let miss_cost_ms = if expected.object_cached {
         0.0
     } else {
         CACHE_MISS_COST_FACTOR * query.first_ms
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -231,7 +231,7 @@
         "time_left_ms": open.time_told.map(|left| left.as_millis() as u64),
         "customer": open.customer.as_ref().map(|customer| &customer.name),
         "object": open.object.map(|object| format!("{object:016x}")),
-        "offer": answered.offer,
+        "offer": answered.attempt,
     });
     host.log
         .write(EventCode::RequestAnswered, LineWeight::Ordinary, fields);
--- a/src/losses/cause.rs
+++ b/src/losses/cause.rs
@@ -58,17 +58,17 @@
             return Some(Self::CameBack);
         }
         let offer = &answer.offer;
-        if offer.offers_before > 0 && offer.took_ms <= answer.goal_ms {
+        if offer.earlier_attempts > 0 && offer.took_ms <= answer.goal_ms {
             return Some(Self::EarlierOffer);
         }
         if first_run {
             return Some(Self::FirstRun);
         }
         let took_ms = offer.took_ms as f64;
-        if took_ms > 2.0 * (offer.expected.work_ms + offer.expected.way_ms) {
+        if took_ms > 2.0 * (offer.expected.work_ms + offer.expected.rtt_ms) {
             return Some(Self::Wait);
         }
-        if took_ms - offer.expected.way_ms <= answer.goal_ms as f64 {
+        if took_ms - offer.expected.rtt_ms <= answer.goal_ms as f64 {
             return Some(Self::Way);
         }
         Some(Self::Work)
--- a/src/losses/line.rs
+++ b/src/losses/line.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize as _;
 use serde_json::Value;
 
-use crate::entry::attempt_record::OfferRecord;
+use crate::entry::attempt_record::AttemptRecord;
 use crate::error::{Error, Result};
 use crate::event::EventCode;
 use crate::result_code::ResultCode;
@@ -37,7 +37,7 @@
     /// A hash of the object, on routes that keep objects together.
     pub object: Option<String>,
     /// The offer that was answered.
-    pub offer: OfferRecord,
+    pub offer: AttemptRecord,
 }
 
 /// A request that was not answered by a server.
--- a/src/losses/report.rs
+++ b/src/losses/report.rs
@@ -173,7 +173,7 @@
 impl ErrorSamples {
     fn push(&mut self, line: &AnsweredLine, first_run: bool) {
         let error_ms = line.offer.took_ms as f64 - line.offer.expected.total_ms();
-        let samples = match (first_run, line.offer.expected.knows_object) {
+        let samples = match (first_run, line.offer.expected.object_cached) {
             (false, _) => &mut self.known,
             (true, false) => &mut self.first,
             (true, true) => &mut self.mistaken,
