--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -11,8 +11,8 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_latency::RegionDistances;
-use ledgespool::entry::region_weights::{RegionRoom, RegionWeights};
+use ledgespool::entry::region_latency::RegionLatencies;
+use ledgespool::entry::region_weights::{RegionCapacity, RegionWeights};
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
 use ledgespool::entry::settings::HallMap;
@@ -41,17 +41,17 @@
 fn measure(servers: usize, objects: Option<u64>) -> f64 {
     let fleet = fleet(servers);
     let evacuated = BTreeSet::new();
-    let distances = RegionDistances::default();
-    let rooms = [10, 40, 50]
+    let latencies = RegionLatencies::default();
+    let capacities = [10, 40, 50]
         .into_iter()
         .enumerate()
-        .map(|(number, slots)| RegionRoom {
+        .map(|(number, slots)| RegionCapacity {
             region: format!("region-{number}"),
             hosts: 4,
             slots,
         });
-    let rooms: Vec<RegionRoom> = rooms.collect();
-    let weights = RegionWeights::for_region("region-0", &rooms);
+    let capacities: Vec<RegionCapacity> = capacities.collect();
+    let weights = RegionWeights::for_region("region-0", &capacities);
     let limits = ServerLimitTable::default();
     let mut random = SmallRng::seed_from_u64(7);
     let start = Instant::now();
@@ -60,7 +60,7 @@
             servers: fleet.of_service("desk"),
             object: objects.map(|objects| hash::mix(number % objects)),
             region: "region-0",
-            distances: &distances,
+            latencies: &latencies,
             weights: &weights,
             homes: &[],
             evacuated: &evacuated,
--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -14,7 +14,7 @@
 use ledgespool::entry::packed_servers::PackedServers;
 use ledgespool::entry::peer_message::{PackedSnapshot, PeerSnapshot, WatchState};
 use ledgespool::entry::peers::PeerTable;
-use ledgespool::entry::region_latency::RegionDistances;
+use ledgespool::entry::region_latency::RegionLatencies;
 use ledgespool::entry::region_weights::RegionWeights;
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
@@ -139,7 +139,7 @@
 
 fn measure_choice(fleet: &Fleet) -> f64 {
     let evacuated = BTreeSet::new();
-    let distances = RegionDistances::default();
+    let latencies = RegionLatencies::default();
     let weights = RegionWeights::default();
     let limits = ServerLimitTable::default();
     let mut random = SmallRng::seed_from_u64(7);
@@ -148,7 +148,7 @@
             servers: fleet.of_service("service-0"),
             object: Some(number),
             region: "region-0",
-            distances: &distances,
+            latencies: &latencies,
             weights: &weights,
             homes: &[],
             evacuated: &evacuated,
--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -178,7 +178,7 @@
         let settings = host.settings();
         let fleet = host.fleet.borrow();
         let evacuated = host.evacuated_halls();
-        let distances = host.distances.borrow();
+        let latencies = host.latencies.borrow();
         let goal_left_ms = route.goal_ms.saturating_sub(now.since(open.arrived));
         let weights = host.region_weights(&open.service);
         let limits = host.server_limits.table();
@@ -187,7 +187,7 @@
             servers: fleet.of_service(&open.service),
             object: open.object,
             region: &settings.region,
-            distances: &distances,
+            latencies: &latencies,
             homes: &open.homes,
             evacuated: &evacuated,
             tried: &self.tried,
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -20,7 +20,7 @@
 use super::choice_refusal::{next_available_at, refuse, refuse_until};
 use super::fleet_server::FleetServer;
 use super::hash;
-use super::region_latency::RegionDistances;
+use super::region_latency::RegionLatencies;
 use super::region_weights::RegionWeights;
 use super::server_limit::table::ServerLimitTable;
 use super::server_notice::ServerStanding;
@@ -61,7 +61,7 @@
     /// The region of this host.
     pub region: &'a str,
     /// Round trip times to the regions.
-    pub distances: &'a RegionDistances,
+    pub latencies: &'a RegionLatencies,
     /// Weights of each region's servers in the ranking of objects.
     pub weights: &'a RegionWeights,
     /// The only regions that may serve the request; empty if all may.
@@ -355,7 +355,7 @@
         query.first_ms
     };
     let slowdown = server.pace(query.now);
-    let rtt_ms = query.distances.way_ms(&server.region, query.region);
+    let rtt_ms = query.latencies.rtt_ms(&server.region, query.region);
     // The owner of the server's limit is in the server's region and is asked for a token first,
     // which takes one more round trip.
     let is_limited = query.limits.word_of(server.start_hash).is_some();
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -176,7 +176,7 @@
 ) -> Result<ServerSender, OfferEnd> {
     let began = host.now();
     let left = time::Duration::from_millis(deadline.since(began));
-    let limit = host.distances.borrow().connect_limit(&server.region);
+    let limit = host.latencies.borrow().connect_timeout(&server.region);
     host.metrics.borrow_mut().connections += 1;
     let Ok(sender) = pool::connect(server, limit.min(left)).await else {
         host.metrics.borrow_mut().connect_failures += 1;
@@ -187,8 +187,8 @@
         });
     };
     let took = time::Duration::from_millis(host.now().since(began));
-    let mut distances = host.distances.borrow_mut();
-    distances.on_connected(&server.region, took);
+    let mut latencies = host.latencies.borrow_mut();
+    latencies.on_connected(&server.region, took);
     Ok(sender)
 }
 
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -28,7 +28,7 @@
 use super::peers::PeerTable;
 use super::pool::ServerPool;
 use super::quarantine_role::QuarantineRole;
-use super::region_latency::RegionDistances;
+use super::region_latency::RegionLatencies;
 use super::region_weights::WeightCache;
 use super::rollout_role::RolloutRole;
 use super::route_times::RouteTimeTable;
@@ -58,7 +58,7 @@
     /// Kept connections to servers.
     pub pool: cell::RefCell<ServerPool>,
     /// How far the regions are.
-    pub distances: cell::RefCell<RegionDistances>,
+    pub latencies: cell::RefCell<RegionLatencies>,
     /// Other hosts.
     pub peers: cell::RefCell<PeerTable>,
     /// The way to them.
@@ -114,7 +114,7 @@
             metrics: cell::RefCell::default(),
             fleet: cell::RefCell::new(fleet),
             pool: cell::RefCell::default(),
-            distances: cell::RefCell::default(),
+            latencies: cell::RefCell::default(),
             peers: cell::RefCell::new(peers),
             socket: PeerSocket::default(),
             fetches: OpenFetches::default(),
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -134,7 +134,7 @@
 }
 
 async fn look_after<W: WireProtocol>(host: rc::Rc<EntryHost<W>>, server: rc::Rc<FleetServer>) {
-    let limit = host.distances.borrow().connect_limit(&server.region);
+    let limit = host.latencies.borrow().connect_timeout(&server.region);
     let connected = pool::connect(&server, limit).await;
     let requests = host.quarantine.take_broken(&server.id);
     match connected {
--- a/src/entry/region_latency.rs
+++ b/src/entry/region_latency.rs
@@ -20,24 +20,24 @@
 
 /// The connect times that a host has measured.
 #[derive(Debug, Default)]
-pub struct RegionDistances {
+pub struct RegionLatencies {
     /// Estimated time that a connection to each region takes to establish, in milliseconds.
     connect_ms: collections::HashMap<String, f64>,
 }
 
-impl RegionDistances {
+impl RegionLatencies {
     /// Timeout for connecting to a server of `region`.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ledgespool::entry::region_latency::RegionDistances;
-    /// let mut distances = RegionDistances::default();
-    /// assert_eq!(distances.connect_limit("perth"), Duration::from_millis(700));
-    /// distances.on_connected("perth", Duration::from_millis(100));
-    /// assert_eq!(distances.connect_limit("perth"), Duration::from_millis(400));
+    /// use ledgespool::entry::region_latency::RegionLatencies;
+    /// let mut latencies = RegionLatencies::default();
+    /// assert_eq!(latencies.connect_timeout("perth"), Duration::from_millis(700));
+    /// latencies.on_connected("perth", Duration::from_millis(100));
+    /// assert_eq!(latencies.connect_timeout("perth"), Duration::from_millis(400));
     /// ```
     #[must_use]
-    pub fn connect_limit(&self, region: &str) -> time::Duration {
+    pub fn connect_timeout(&self, region: &str) -> time::Duration {
         let Some(known_ms) = self.connect_ms.get(region) else {
             return MAX_CONNECT_TIMEOUT;
         };
@@ -62,14 +62,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ledgespool::entry::region_latency::RegionDistances;
-    /// let mut distances = RegionDistances::default();
-    /// assert!(distances.way_ms("kal", "perth") > distances.way_ms("perth", "perth"));
-    /// distances.on_connected("kal", Duration::from_millis(220));
-    /// assert!(distances.way_ms("kal", "perth") >= 220.0);
+    /// use ledgespool::entry::region_latency::RegionLatencies;
+    /// let mut latencies = RegionLatencies::default();
+    /// assert!(latencies.rtt_ms("kal", "perth") > latencies.rtt_ms("perth", "perth"));
+    /// latencies.on_connected("kal", Duration::from_millis(220));
+    /// assert!(latencies.rtt_ms("kal", "perth") >= 220.0);
     /// ```
     #[must_use]
-    pub fn way_ms(&self, region: &str, own_region: &str) -> f64 {
+    pub fn rtt_ms(&self, region: &str, own_region: &str) -> f64 {
         let default_ms = if region == own_region {
             0.0
         } else {
--- a/src/entry/region_weights.rs
+++ b/src/entry/region_weights.rs
@@ -26,7 +26,7 @@
 
 /// The callers of a region and the capacity of its servers for one service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RegionRoom {
+pub struct RegionCapacity {
     /// The region.
     pub region: String,
     /// Number of entry hosts, which stands for the number of callers.
@@ -57,19 +57,19 @@
     /// Computes the weights for objects of the callers in region `own`.
     ///
     /// ```
-    /// use ledgespool::entry::region_weights::{RegionRoom, RegionWeights};
-    /// let capacity = |region: &str, hosts, slots| RegionRoom {
+    /// use ledgespool::entry::region_weights::{RegionCapacity, RegionWeights};
+    /// let capacity = |region: &str, hosts, slots| RegionCapacity {
     ///     region: region.to_owned(),
     ///     hosts,
     ///     slots,
     /// };
     /// let capacities = [capacity("small", 3, 6), capacity("large", 3, 54)];
-    /// // The large region has room for its own objects; the small one's go there for the most part.
+    /// // The large region has capacity for its own objects; most of the small one's go there too.
     /// assert!(RegionWeights::for_region("large", &capacities).of("small") < 0.1);
     /// assert!(RegionWeights::for_region("small", &capacities).of("large") > 0.8);
     /// ```
     #[must_use]
-    pub fn for_region(own: &str, capacities: &[RegionRoom]) -> Self {
+    pub fn for_region(own: &str, capacities: &[RegionCapacity]) -> Self {
         let totals = RegionTotals::of(capacities);
         let Some(own_capacity) = capacities.iter().find(|capacity| capacity.region == own) else {
             return Self::default();
@@ -82,7 +82,7 @@
             .iter()
             .map(|capacity| totals.spare(capacity).max(0.0))
             .sum();
-        let share = |capacity: &RegionRoom| {
+        let share = |capacity: &RegionCapacity| {
             if capacity.region == own {
                 1.0 - excess
             } else if all_spare > 0.0 {
@@ -110,7 +110,7 @@
 }
 
 impl RegionTotals {
-    fn of(capacities: &[RegionRoom]) -> Self {
+    fn of(capacities: &[RegionCapacity]) -> Self {
         Self {
             hosts: capacities
                 .iter()
@@ -124,18 +124,18 @@
     }
 
     /// The fraction of all callers that is in a region.
-    fn demand(&self, capacity: &RegionRoom) -> f64 {
+    fn demand(&self, capacity: &RegionCapacity) -> f64 {
         f64::from(capacity.hosts) / self.hosts
     }
 
     /// The fraction of all slots that is in a region.
-    fn supply(&self, capacity: &RegionRoom) -> f64 {
+    fn supply(&self, capacity: &RegionCapacity) -> f64 {
         f64::from(capacity.slots) / self.slots
     }
 
     /// The part of a region's supply that its own callers do not need; negative if the supply is
     /// too small.
-    fn spare(&self, capacity: &RegionRoom) -> f64 {
+    fn spare(&self, capacity: &RegionCapacity) -> f64 {
         self.supply(capacity) - self.demand(capacity)
     }
 }
@@ -185,7 +185,7 @@
         weights
     }
 
-    fn region_capacities(&self, service: &str) -> Vec<RegionRoom> {
+    fn region_capacities(&self, service: &str) -> Vec<RegionCapacity> {
         let hosts = self.hosts_by_region();
         let mut slots = collections::BTreeMap::<rc::Rc<str>, u32>::new();
         let evacuated = self.evacuated_halls();
@@ -197,7 +197,7 @@
         let with_hosts = hosts.keys().map(String::as_str);
         let with_servers = slots.keys().map(|region| &**region);
         let regions: collections::BTreeSet<&str> = with_hosts.chain(with_servers).collect();
-        let capacity = |region: &str| RegionRoom {
+        let capacity = |region: &str| RegionCapacity {
             region: region.to_owned(),
             hosts: hosts.get(region).copied().unwrap_or(0),
             slots: slots.get(region).copied().unwrap_or(0),
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -12,8 +12,8 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_latency::RegionDistances;
-use ledgespool::entry::region_weights::{RegionRoom, RegionWeights};
+use ledgespool::entry::region_latency::RegionLatencies;
+use ledgespool::entry::region_weights::{RegionCapacity, RegionWeights};
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::server_limit::rate::NamedLimit;
 use ledgespool::entry::server_limit::table::ServerLimitTable;
@@ -103,7 +103,7 @@
 }
 
 struct QueryInput<'a> {
-    distances: &'a RegionDistances,
+    latencies: &'a RegionLatencies,
     weights: &'a RegionWeights,
     fleet: &'a Fleet,
     object: Option<u64>,
@@ -118,7 +118,7 @@
         servers: input.fleet.of_service("desk"),
         object: input.object,
         region: "one",
-        distances: input.distances,
+        latencies: input.latencies,
         weights: input.weights,
         homes: input.homes,
         evacuated: input.evacuated,
@@ -216,7 +216,7 @@
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let input = QueryInput {
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(7),
@@ -250,7 +250,7 @@
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let input = QueryInput {
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(7),
@@ -283,8 +283,8 @@
     }
 }
 
-fn room(region: &str, hosts: u32, slots: u32) -> RegionRoom {
-    RegionRoom {
+fn capacity(region: &str, hosts: u32, slots: u32) -> RegionCapacity {
+    RegionCapacity {
         region: region.to_owned(),
         hosts,
         slots,
@@ -297,11 +297,12 @@
 fn a_region_with_room_keeps_its_objects_and_has_alternatives_elsewhere() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
-    let weights = RegionWeights::for_region("one", &[room("one", 3, 36), room("two", 3, 36)]);
+    let weights =
+        RegionWeights::for_region("one", &[capacity("one", 3, 36), capacity("two", 3, 36)]);
     let mut elsewhere = 0;
     for object in 0..200 {
         let input = QueryInput {
-            distances: &RegionDistances::default(),
+            latencies: &RegionLatencies::default(),
             weights: &weights,
             fleet: &fleet,
             object: Some(object),
@@ -337,7 +338,7 @@
     let home = ["two".to_owned()];
     for object in 0..200 {
         let input = QueryInput {
-            distances: &RegionDistances::default(),
+            latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
             fleet: &fleet,
             object: Some(object),
@@ -355,7 +356,7 @@
     }
     let both: BTreeSet<String> = ["east".to_owned(), "west".to_owned()].into();
     let input = QueryInput {
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(1),
@@ -372,7 +373,7 @@
         }
     ));
     let input = QueryInput {
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(1),
@@ -405,7 +406,7 @@
     let none = BTreeSet::new();
     for object in [Some(3), None] {
         let input = QueryInput {
-            distances: &RegionDistances::default(),
+            latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
             fleet: &fleet,
             object,
@@ -441,7 +442,7 @@
         let whole = fleet(24);
         let none = BTreeSet::new();
         let input = QueryInput {
-            distances: &RegionDistances::default(),
+            latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
             fleet: &whole,
             object: Some(object),
@@ -469,11 +470,11 @@
         hosts in (0_u32..9, 0_u32..9),
     ) {
         let whole = fleet_with_slots(&slots);
-        let weights = RegionWeights::for_region("one", &[room("one", hosts.0, 30), room("two", hosts.1, 60)]);
+        let weights = RegionWeights::for_region("one", &[capacity("one", hosts.0, 30), capacity("two", hosts.1, 60)]);
         let evacuated: BTreeSet<String> = evacuate.then(|| "west".to_owned()).into_iter().collect();
         let tried = [format!("i-{tried:03}")];
         let input = QueryInput {
-            distances: &RegionDistances::default(),
+            latencies: &RegionLatencies::default(),
             weights: &weights,
             fleet: &whole,
             object: Some(object),
@@ -493,12 +494,12 @@
     #[test]
     fn regions_are_equally_busy(hosts in proptest::collection::vec(1_u32..30, 3), slots in proptest::collection::vec(1_u32..90, 3)) {
         let names = ["a", "b", "c"];
-        let rooms: Vec<RegionRoom> = (0..3).map(|place| room(names[place], hosts[place], slots[place])).collect();
+        let capacities: Vec<RegionCapacity> = (0..3).map(|place| capacity(names[place], hosts[place], slots[place])).collect();
         let all_hosts = f64::from(hosts.iter().sum::<u32>());
         let all_slots = f64::from(slots.iter().sum::<u32>());
         let mut work = [0.0; 3];
         for own in 0..3 {
-            let weights = RegionWeights::for_region(names[own], &rooms);
+            let weights = RegionWeights::for_region(names[own], &capacities);
             let demand = f64::from(hosts[own]) / all_hosts;
             for at in 0..3 {
                 let supply = f64::from(slots[at]) / all_slots;
@@ -525,7 +526,7 @@
         let mut tried: Vec<String> = Vec::new();
         for _ in 0..9 {
             let input = QueryInput {
-                distances: &RegionDistances::default(),
+                latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
             fleet: &whole,
                 object: Some(object),
@@ -556,7 +557,7 @@
     }
     limits.on_denied(servers[0].start_hash, 700, Moment(0));
     let input = QueryInput {
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: None,
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -7,7 +7,7 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_server::FleetServer;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_latency::RegionDistances;
+use ledgespool::entry::region_latency::RegionLatencies;
 use ledgespool::entry::region_weights::RegionWeights;
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
@@ -72,7 +72,7 @@
         servers: fleet.of_service("desk"),
         object: seed.is_multiple_of(2).then_some(seed),
         region: "one",
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         homes: &[],
         evacuated: &BTreeSet::new(),
