--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -133,9 +133,9 @@
                 return Ok((chosen, token));
             }
         }
-        let come_back_ms = self.usual_ms() as u64;
+        let retry_after_ms = self.typical_ms() as u64;
         let reason = NoServer::AllLimited;
-        Err(RequestFailure::without_server(reason, come_back_ms))
+        Err(RequestFailure::without_server(reason, retry_after_ms))
     }
 
     fn choose(&self) -> Result<ChosenServer, RequestFailure> {
@@ -151,7 +151,7 @@
             choice = self.choose_among(VersionRule::Except(version), now);
         }
         match choice {
-            ServerChoice::Offer(chosen) => {
+            ServerChoice::Selected(chosen) => {
                 if chosen.server.is_cold(now) {
                     chosen.server.on_cold_send(now);
                 }
@@ -159,13 +159,13 @@
             }
             ServerChoice::Refuse {
                 reason,
-                come_back_ms,
+                retry_after_ms,
                 free_slots,
             } => {
                 if !self.host.fleet.borrow().is_listed() {
                     return Err(RequestFailure::UNLISTED);
                 }
-                let failure = RequestFailure::without_server(reason, come_back_ms);
+                let failure = RequestFailure::without_server(reason, retry_after_ms);
                 Err(failure.with_free_slots(free_slots))
             }
         }
@@ -192,10 +192,10 @@
             evacuated: &evacuated,
             tried: &self.tried,
             versions,
-            near: route.kind.stays_near(),
-            usual_ms: self.usual_ms(),
-            first_ms: self.first_ms(),
-            patience_ms: goal_left_ms as f64,
+            prefer_local: route.kind.stays_near(),
+            typical_ms: self.typical_ms(),
+            cache_miss_ms: self.cache_miss_ms(),
+            goal_left_ms: goal_left_ms as f64,
             cold_share: host.cold_share(self.cold_per_s()),
             leave_ms: settings.bounds.leave_ms(),
             limits: &limits,
@@ -232,17 +232,17 @@
     ) -> Result<Option<AnsweredRequest>, RequestFailure> {
         let ChosenServer { server, expected } = chosen;
         let object = self.open.object;
-        let known_object = object.is_none_or(|object| server.remember_object(object));
+        let object_cached = object.is_none_or(|object| server.remember_object(object));
         let began = self.host.now();
         let terms = OfferTerms {
             deadline: self.open.deadline,
             right,
         };
         let outcome = exchange::offer(self.host, &server, &self.open.forward, terms).await;
-        self.count_for_rollout(&server, &outcome, began, known_object);
+        self.count_for_rollout(&server, &outcome, began, object_cached);
         match outcome {
             OfferEnd::Answered(answer) => {
-                self.on_answer(&server, began, known_object);
+                self.on_answer(&server, began, object_cached);
                 self.host.on_success(self.open, &answer);
                 let attempt = AttemptRecord {
                     expected,
@@ -255,7 +255,7 @@
                     attempt,
                 }));
             }
-            OfferEnd::TimedOut => return Err(self.on_timeout(&server, began, known_object)),
+            OfferEnd::TimedOut => return Err(self.on_timeout(&server, began, object_cached)),
             OfferEnd::NotSent => self.on_not_sent(&server),
             OfferEnd::Withheld(cause) => self.log_failed_attempt(&server, cause.as_str()),
             OfferEnd::OutOfTime => {
--- a/src/entry/attempts/outcome.rs
+++ b/src/entry/attempts/outcome.rs
@@ -28,13 +28,13 @@
         server: &FleetServer,
         outcome: &OfferEnd,
         began: Moment,
-        known_object: bool,
+        object_cached: bool,
     ) {
         let now = self.host.now();
-        let expected_ms = if known_object {
-            self.usual_ms()
+        let expected_ms = if object_cached {
+            self.typical_ms()
         } else {
-            self.first_ms()
+            self.cache_miss_ms()
         };
         let took_ms = now.since(began);
         // An answer within the route's goal is good, even if other servers are faster.
@@ -62,27 +62,27 @@
         &self,
         server: &FleetServer,
         began: Moment,
-        known_object: bool,
+        object_cached: bool,
     ) -> RequestFailure {
         self.log_failed_attempt(server, "timed out");
         let now = self.host.now();
-        let usual_ms = if known_object {
-            self.usual_ms()
+        let typical_ms = if object_cached {
+            self.typical_ms()
         } else {
-            self.first_ms()
+            self.cache_miss_ms()
         };
-        server.on_pace(now.since(began) as f64 / usual_ms, now);
+        server.on_pace(now.since(began) as f64 / typical_ms, now);
         self.host.on_server_failure(server);
         RequestFailure::TIMED_OUT
     }
 
-    pub(super) fn on_answer(&self, server: &FleetServer, began: Moment, known_object: bool) {
+    pub(super) fn on_answer(&self, server: &FleetServer, began: Moment, object_cached: bool) {
         let sample = AnswerSample {
             route: &self.open.route.name,
-            millis: self.host.now().since(began),
-            known_object,
+            took_ms: self.host.now().since(began),
+            object_cached,
         };
-        self.host.on_answer_time(server, &sample);
+        self.host.record_answer_time(server, &sample);
     }
 
     pub(super) fn on_not_sent(&self, server: &FleetServer) {
@@ -143,17 +143,17 @@
     }
 
     pub(super) fn not_run(&self) -> RequestFailure {
-        RequestFailure::not_run(self.usual_ms() as u64)
+        RequestFailure::not_run(self.typical_ms() as u64)
     }
 
-    pub(super) fn usual_ms(&self) -> f64 {
+    pub(super) fn typical_ms(&self) -> f64 {
         let route = &self.open.route;
-        self.host.usual_ms(&route.name, route.goal_ms)
+        self.host.typical_ms(&route.name, route.goal_ms)
     }
 
-    pub(super) fn first_ms(&self) -> f64 {
+    pub(super) fn cache_miss_ms(&self) -> f64 {
         let route = &self.open.route;
-        self.host.first_ms(&route.name, route.goal_ms)
+        self.host.cache_miss_ms(&route.name, route.goal_ms)
     }
 
     pub(super) fn log_failed_attempt(&self, server: &FleetServer, result: &str) {
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -74,14 +74,14 @@
     pub versions: VersionRule,
     /// Whether servers in this host's region are preferred, because the request transfers many
     /// bytes.
-    pub near: bool,
+    pub prefer_local: bool,
     /// Typical time of such a request on a server that has its object cached, in milliseconds.
-    pub usual_ms: f64,
+    pub typical_ms: f64,
     /// Typical time of such a request on a server that does not have its object cached, in
     /// milliseconds.
-    pub first_ms: f64,
+    pub cache_miss_ms: f64,
     /// Time left until the route's goal, in milliseconds; a later answer counts as too late.
-    pub patience_ms: f64,
+    pub goal_left_ms: f64,
     /// This host's share of the requests that a cold server may get within a second.
     pub cold_share: budget::ColdShare,
     /// How long a leaving server continues to serve at least, in milliseconds.
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoServer {
     /// No server that may serve the request is available.
-    NoneFit,
+    NoneEligible,
     /// Every server would answer too late.
     AllFull,
     /// Every server that may serve the request has reached its limit or asked for a backoff.
@@ -116,13 +116,13 @@
 #[derive(Debug)]
 pub enum ServerChoice {
     /// Send the request to this server.
-    Offer(ChosenServer),
+    Selected(ChosenServer),
     /// Refuse the request.
     Refuse {
         /// Why it is refused.
         reason: NoServer,
         /// When a retry may succeed, in milliseconds.
-        come_back_ms: u64,
+        retry_after_ms: u64,
         /// Free slots of the compared servers, as far as this host knows.
         free_slots: u32,
     },
@@ -137,7 +137,7 @@
     if ranked.is_empty() {
         return match next_available_at(query) {
             Some(available_at) => refuse_until(query, available_at, random),
-            None => refuse(query, NoServer::NoneFit, 0, random),
+            None => refuse(query, NoServer::NoneEligible, 0, random),
         };
     }
     let mut candidates: Vec<ChosenServer> = ranked
@@ -149,7 +149,7 @@
         })
         .collect();
     match cheapest_candidate(query, &candidates) {
-        Some(place) => ServerChoice::Offer(candidates.swap_remove(place)),
+        Some(place) => ServerChoice::Selected(candidates.swap_remove(place)),
         None => refuse(query, NoServer::AllFull, free_slots(&candidates), random),
     }
 }
@@ -184,14 +184,14 @@
         .enumerate()
         .min_by(|a, b| a.1.total_cmp(&b.1));
     if let Some((place, _cost)) = cheapest
-        && candidates[place].expected.total_ms() <= query.patience_ms
+        && candidates[place].expected.total_ms() <= query.goal_left_ms
     {
         return Some(place);
     }
     // A cache miss is allowed even if it will be late, because later requests for the same object
     // will not be.
-    let mut first_runs = candidates.iter().take(LATE_CACHE_MISS_CANDIDATES);
-    first_runs.position(|candidate| has_capacity(query, &candidate.server))
+    let mut late_candidates = candidates.iter().take(LATE_CACHE_MISS_CANDIDATES);
+    late_candidates.position(|candidate| has_capacity(query, &candidate.server))
 }
 
 fn is_eligible(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerStanding) -> bool {
@@ -204,9 +204,9 @@
 /// just ended, because this may be its last attempt.
 fn availability_for(query: &ChoiceQuery<'_>, server: &FleetServer) -> ServerStanding {
     let standing = server.standing(query.leave_ms, query.now);
-    let is_repeat = !query.tried.is_empty();
+    let is_retry = !query.tried.is_empty();
     match standing {
-        ServerStanding::Regular if is_repeat && server.notice().is_on_trial(query.now) => {
+        ServerStanding::Regular if is_retry && server.notice().is_on_trial(query.now) => {
             ServerStanding::LastResort
         }
         standing => standing,
@@ -253,7 +253,7 @@
             continue;
         }
         let slots = f64::from(server.slots);
-        let is_remote = query.near && *server.region != *query.region;
+        let is_remote = query.prefer_local && *server.region != *query.region;
         // Remote servers rank behind all local ones.
         let penalty = if is_remote { REMOTE_RANK_PENALTY } else { 0.0 };
         let weight = slots * query.weights.of(&server.region);
@@ -349,10 +349,10 @@
         || query
             .object
             .is_none_or(|object| server.knows_object(object));
-    let usual_ms = if object_cached {
-        query.usual_ms
+    let typical_ms = if object_cached {
+        query.typical_ms
     } else {
-        query.first_ms
+        query.cache_miss_ms
     };
     let slowdown = server.pace(query.now);
     let rtt_ms = query.latencies.rtt_ms(&server.region, query.region);
@@ -365,8 +365,8 @@
         object_cached,
         load,
         load_age_ms: server.told_age_ms(query.now),
-        wait_ms: query.usual_ms * slowdown * queued / slots,
-        work_ms: usual_ms * slowdown,
+        wait_ms: query.typical_ms * slowdown * queued / slots,
+        work_ms: typical_ms * slowdown,
         rtt_ms: rtt_ms * round_trips,
     }
 }
@@ -376,7 +376,7 @@
     let miss_cost_ms = if expected.object_cached {
         0.0
     } else {
-        CACHE_MISS_COST_FACTOR * query.first_ms
+        CACHE_MISS_COST_FACTOR * query.cache_miss_ms
     };
     expected.total_ms() + miss_cost_ms
 }
--- a/src/entry/choice_refusal.rs
+++ b/src/entry/choice_refusal.rs
@@ -33,11 +33,11 @@
     random: &mut SmallRng,
 ) -> ServerChoice {
     let factor = random.random_range(RETRY_AFTER_FACTORS);
-    let millis = (query.usual_ms * factor).max(MIN_RETRY_AFTER_MS);
+    let retry_after_ms = (query.typical_ms * factor).max(MIN_RETRY_AFTER_MS);
     ServerChoice::Refuse {
         reason,
         // The value is positive, and float casts saturate.
-        come_back_ms: millis as u64,
+        retry_after_ms: retry_after_ms as u64,
         free_slots,
     }
 }
@@ -49,12 +49,12 @@
     available_at: Moment,
     random: &mut SmallRng,
 ) -> ServerChoice {
-    let spread_ms = query.usual_ms * random.random_range(RETRY_AFTER_FACTORS);
-    let millis = available_at.since(query.now) as f64 + spread_ms;
+    let spread_ms = query.typical_ms * random.random_range(RETRY_AFTER_FACTORS);
+    let retry_after_ms = available_at.since(query.now) as f64 + spread_ms;
     ServerChoice::Refuse {
         reason: NoServer::AllLimited,
         // The value is positive, and float casts saturate.
-        come_back_ms: millis.max(MIN_RETRY_AFTER_MS) as u64,
+        retry_after_ms: retry_after_ms.max(MIN_RETRY_AFTER_MS) as u64,
         free_slots: 0,
     }
 }
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -211,7 +211,7 @@
                 come_back_ms,
                 "every server has as many requests as it takes",
             ),
-            NoServer::NoneFit => Self::refused(
+            NoServer::NoneEligible => Self::refused(
                 RequestEnd::RefusedNoServer,
                 come_back_ms,
                 "no server may serve it now",
--- a/src/entry/route_times.rs
+++ b/src/entry/route_times.rs
@@ -23,9 +23,9 @@
     /// The request's route.
     pub route: &'a str,
     /// Time from the start of the attempt to the answer, in milliseconds.
-    pub millis: u64,
+    pub took_ms: u64,
     /// Whether the server probably had the object cached; also true if the route has no objects.
-    pub known_object: bool,
+    pub object_cached: bool,
 }
 
 /// Typical times of the requests of a route, in milliseconds; `None` before the first answer.
@@ -50,13 +50,13 @@
     /// ```
     /// use ledgespool::entry::route_times::{AnswerSample, RouteTimeTable};
     /// let mut times = RouteTimeTable::default();
-    /// assert_eq!(times.known_ms("reads"), None);
-    /// let sample = AnswerSample { route: "reads", millis: 90, known_object: true };
+    /// assert_eq!(times.cached_ms("reads"), None);
+    /// let sample = AnswerSample { route: "reads", took_ms: 90, object_cached: true };
     /// assert!((times.on_answer(&sample) - 1.0).abs() < f64::EPSILON);
-    /// assert!(times.known_ms("reads").is_some());
+    /// assert!(times.cached_ms("reads").is_some());
     /// ```
     #[must_use]
-    pub fn known_ms(&self, route: &str) -> Option<f64> {
+    pub fn cached_ms(&self, route: &str) -> Option<f64> {
         self.times_of(route).cached
     }
 
@@ -66,17 +66,17 @@
 
     /// Records one answer; returns its time as a multiple of the previous typical time.
     pub fn on_answer(&mut self, sample: &AnswerSample<'_>) -> f64 {
-        let millis = (sample.millis as f64).max(1.0);
+        let took_ms = (sample.took_ms as f64).max(1.0);
         let times = self.routes.entry(sample.route.to_owned()).or_default();
-        let kind = if sample.known_object {
+        let kind = if sample.object_cached {
             &mut times.cached
         } else {
             &mut times.cache_miss
         };
-        let typical = kind.get_or_insert(millis);
-        let slowdown = millis / *typical;
+        let typical = kind.get_or_insert(took_ms);
+        let slowdown = took_ms / *typical;
         // Steps up and down balance when the desired fraction of the answers is faster.
-        *typical *= if millis > *typical {
+        *typical *= if took_ms > *typical {
             1.0 + TYPICAL_STEP * TYPICAL_QUANTILE
         } else {
             1.0 - TYPICAL_STEP * (1.0 - TYPICAL_QUANTILE)
@@ -89,26 +89,26 @@
     /// Typical time of a request of `route` on a server that has its object cached, in
     /// milliseconds.
     #[must_use]
-    pub fn usual_ms(&self, route: &str, goal_ms: u64) -> f64 {
-        let cached = self.route_times.borrow().known_ms(route);
+    pub fn typical_ms(&self, route: &str, goal_ms: u64) -> f64 {
+        let cached = self.route_times.borrow().cached_ms(route);
         cached.unwrap_or(goal_ms as f64 * INITIAL_GOAL_FRACTION)
     }
 
     /// Typical time of a request of `route` on a server that does not have its object cached, in
     /// milliseconds.
     #[must_use]
-    pub fn first_ms(&self, route: &str, goal_ms: u64) -> f64 {
+    pub fn cache_miss_ms(&self, route: &str, goal_ms: u64) -> f64 {
         let cache_miss = self.route_times.borrow().times_of(route).cache_miss;
         cache_miss.unwrap_or(goal_ms as f64)
     }
 
     /// Records the time of an answer. Only cache hits count for the server's slowdown, because a
     /// cache miss takes several times longer even on the fastest server.
-    pub fn on_answer_time(&self, server: &FleetServer, sample: &AnswerSample<'_>) {
+    pub fn record_answer_time(&self, server: &FleetServer, sample: &AnswerSample<'_>) {
         let now = self.now();
         server.on_success(now);
         let slowdown = self.route_times.borrow_mut().on_answer(sample);
-        if sample.known_object {
+        if sample.object_cached {
             server.on_pace(slowdown, now);
         }
     }
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -124,10 +124,10 @@
         evacuated: input.evacuated,
         versions: VersionRule::Any,
         tried: input.tried,
-        near: false,
-        usual_ms: 100.0,
-        first_ms: 300.0,
-        patience_ms: 400.0,
+        prefer_local: false,
+        typical_ms: 100.0,
+        cache_miss_ms: 300.0,
+        goal_left_ms: 400.0,
         cold_share: ColdShare {
             all_per_s: 20.0,
             hosts: 1,
@@ -169,7 +169,7 @@
         .map(|server| {
             let sample = hash::mix(object ^ server.hash) >> 11;
             let sample = (sample as f64 + 1.0) / (1_u64 << 53) as f64;
-            let is_remote = query.near && *server.region != *query.region;
+            let is_remote = query.prefer_local && *server.region != *query.region;
             (
                 is_remote,
                 -sample.ln() / (f64::from(server.slots) * weight_of(&server.region)),
@@ -183,7 +183,7 @@
 
 fn chosen(input: &QueryInput<'_>) -> Option<String> {
     match choose(input) {
-        ServerChoice::Offer(chosen) => Some(chosen.server.id.to_string()),
+        ServerChoice::Selected(chosen) => Some(chosen.server.id.to_string()),
         ServerChoice::Refuse { .. } => None,
     }
 }
@@ -273,12 +273,12 @@
     };
     server.expect("the chosen one").on_load(load, Moment(0));
     let patient = ChoiceQuery {
-        patience_ms: 500.0,
-        first_ms: 200.0,
+        goal_left_ms: 500.0,
+        cache_miss_ms: 200.0,
         ..query(&input)
     };
     match choice::choose(&patient, &mut SmallRng::seed_from_u64(5)) {
-        ServerChoice::Offer(chosen) => assert_eq!(*chosen.server.id, *first),
+        ServerChoice::Selected(chosen) => assert_eq!(*chosen.server.id, *first),
         ServerChoice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
@@ -368,7 +368,7 @@
     assert!(matches!(
         choose(&input),
         ServerChoice::Refuse {
-            reason: NoServer::NoneFit,
+            reason: NoServer::NoneEligible,
             ..
         }
     ));
@@ -418,13 +418,13 @@
         match choose(&input) {
             ServerChoice::Refuse {
                 reason,
-                come_back_ms,
+                retry_after_ms,
                 free_slots,
             } => {
                 assert_eq!((reason, free_slots), (NoServer::AllFull, 0));
-                assert!((50..=150).contains(&come_back_ms), "{come_back_ms}");
+                assert!((50..=150).contains(&retry_after_ms), "{retry_after_ms}");
             }
-            ServerChoice::Offer(chosen) => panic!("offered to {}", chosen.server.id),
+            ServerChoice::Selected(chosen) => panic!("offered to {}", chosen.server.id),
         }
     }
 }
@@ -465,7 +465,7 @@
         object in any::<u64>(),
         slots in proptest::collection::vec(1_u32..20, 1..120),
         evacuate in any::<bool>(),
-        near in any::<bool>(),
+        prefer_local in any::<bool>(),
         tried in 0_usize..120,
         hosts in (0_u32..9, 0_u32..9),
     ) {
@@ -483,7 +483,7 @@
                 tried: &tried,
             limits: &ServerLimitTable::default(),
         };
-        let query = ChoiceQuery { near, ..query(&input) };
+        let query = ChoiceQuery { prefer_local, ..query(&input) };
         let ranked = choice::rank_by_object(&query, object);
         let ranked: Vec<String> = ranked.iter().map(|server| server.id.to_string()).collect();
         prop_assert_eq!(ranked, reference_rank(&query, object));
@@ -581,7 +581,7 @@
         refused,
         ServerChoice::Refuse {
             reason: NoServer::AllLimited,
-            come_back_ms: 450..=550,
+            retry_after_ms: 450..=550,
             ..
         }
     ));
--- a/tests/entry_route_times.rs
+++ b/tests/entry_route_times.rs
@@ -16,12 +16,12 @@
         let has_waited = random.random_bool(waiting_fraction);
         let sample = AnswerSample {
             route: "reads",
-            millis: if has_waited { WAITED_MS } else { WORK_MS },
-            known_object: true,
+            took_ms: if has_waited { WAITED_MS } else { WORK_MS },
+            object_cached: true,
         };
         times.on_answer(&sample);
     }
-    times.known_ms("reads").expect("answers came")
+    times.cached_ms("reads").expect("answers came")
 }
 
 /// The average of these times would be 420 ms, above the goal of many routes. Hosts would then
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -78,10 +78,10 @@
         evacuated: &BTreeSet::new(),
         versions: VersionRule::Any,
         tried,
-        near: false,
-        usual_ms: 100.0,
-        first_ms: 300.0,
-        patience_ms: 1_000.0,
+        prefer_local: false,
+        typical_ms: 100.0,
+        cache_miss_ms: 300.0,
+        goal_left_ms: 1_000.0,
         cold_share: ColdShare {
             all_per_s: 20.0,
             hosts: 1,
@@ -100,7 +100,7 @@
     let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
     let choices = (0..DRAWS).map(|seed| choose(fleet, &tried, now, seed));
     let offers = choices.filter_map(|choice| match choice {
-        ServerChoice::Offer(chosen) => Some(chosen.server.id.to_string()),
+        ServerChoice::Selected(chosen) => Some(chosen.server.id.to_string()),
         ServerChoice::Refuse { .. } => None,
     });
     offers.collect()
@@ -234,9 +234,9 @@
     let come_back = (0..DRAWS).map(|seed| match choose(&fleet, &[], 1_000, seed) {
         ServerChoice::Refuse {
             reason: NoServer::AllLimited,
-            come_back_ms,
+            retry_after_ms,
             ..
-        } => come_back_ms,
+        } => retry_after_ms,
         other => panic!("{other:?}"),
     });
     let come_back: Vec<u64> = come_back.collect();
@@ -254,7 +254,7 @@
     assert!(matches!(
         choose(&fleet, &[], 20, 1),
         ServerChoice::Refuse {
-            reason: NoServer::NoneFit,
+            reason: NoServer::NoneEligible,
             ..
         }
     ));
