--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -76,7 +76,7 @@
         }
         let now = self.now();
         if let Some(load) = claims.told.load {
-            server.on_load(load, now);
+            server.on_load_report(load, now);
         }
         if let Some(cold) = claims.told.cold {
             server.set_cold_until(now.plus(cold.as_millis() as u64));
@@ -84,7 +84,7 @@
         self.on_limit_claim(server, claims);
         self.on_leaving_claim(server, claims);
         self.on_rest_claim(server, claims.rest());
-        if server.is_gone() {
+        if server.is_removed() {
             self.fleet.borrow_mut().on_late_notice(server, now);
         }
     }
--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -232,7 +232,7 @@
     ) -> Result<Option<AnsweredRequest>, RequestFailure> {
         let ChosenServer { server, expected } = chosen;
         let object = self.open.object;
-        let object_cached = object.is_none_or(|object| server.remember_object(object));
+        let object_cached = object.is_none_or(|object| server.record_object(object));
         let began = self.host.now();
         let terms = OfferTerms {
             deadline: self.open.deadline,
--- a/src/entry/attempts/outcome.rs
+++ b/src/entry/attempts/outcome.rs
@@ -71,7 +71,7 @@
         } else {
             self.cache_miss_ms()
         };
-        server.on_pace(now.since(began) as f64 / typical_ms, now);
+        server.record_slowdown(now.since(began) as f64 / typical_ms, now);
         self.host.on_server_failure(server);
         RequestFailure::TIMED_OUT
     }
@@ -115,7 +115,7 @@
 
     pub(super) fn on_other_server(&mut self, server: &FleetServer) {
         self.log_failed_attempt(server, "another server has the address");
-        server.on_displaced();
+        server.on_address_reused();
         self.record_sent(self.not_run());
     }
 
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -348,13 +348,13 @@
     let object_cached = place == 0
         || query
             .object
-            .is_none_or(|object| server.knows_object(object));
+            .is_none_or(|object| server.has_object_cached(object));
     let typical_ms = if object_cached {
         query.typical_ms
     } else {
         query.cache_miss_ms
     };
-    let slowdown = server.pace(query.now);
+    let slowdown = server.slowdown(query.now);
     let rtt_ms = query.latencies.rtt_ms(&server.region, query.region);
     // The owner of the server's limit is in the server's region and is asked for a token first,
     // which takes one more round trip.
@@ -364,7 +364,7 @@
         place,
         object_cached,
         load,
-        load_age_ms: server.told_age_ms(query.now),
+        load_age_ms: server.load_report_age_ms(query.now),
         wait_ms: query.typical_ms * slowdown * queued / slots,
         work_ms: typical_ms * slowdown,
         rtt_ms: rtt_ms * round_trips,
@@ -383,5 +383,5 @@
 
 fn has_capacity(query: &ChoiceQuery<'_>, server: &FleetServer) -> bool {
     server.expected_load(query.now) + 1.0 <= f64::from(server.slots)
-        && server.pace(query.now) < SLOW_SERVER_FACTOR
+        && server.slowdown(query.now) < SLOW_SERVER_FACTOR
 }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -119,7 +119,7 @@
     /// Begins a request at `server`.
     #[must_use]
     pub fn at(server: &rc::Rc<FleetServer>) -> Self {
-        server.begin();
+        server.begin_request();
         Self {
             server: rc::Rc::clone(server),
         }
@@ -128,7 +128,7 @@
 
 impl Drop for HeldSlot {
     fn drop(&mut self) {
-        self.server.end();
+        self.server.end_request();
     }
 }
 
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -103,7 +103,7 @@
 
     /// Whether a server of this identity is known and not removed.
     #[must_use]
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.entries.contains_key(id)
     }
 
@@ -124,7 +124,7 @@
     /// Servers that are retained although their entries are missing.
     pub(super) fn missing(&self) -> impl Iterator<Item = &rc::Rc<FleetServer>> {
         let missing = self.missing.iter();
-        missing.filter(|server| !server.is_gone() && server.missing_until().is_some())
+        missing.filter(|server| !server.is_removed() && server.missing_until().is_some())
     }
 
     /// The server with this incarnation hash, if it is known and not removed.
@@ -302,7 +302,7 @@
             let before = self.server(id).cloned();
             if change.deleted {
                 changes.extend(self.remove(id, span.until, source, now));
-            } else if change.object.revision > self.revision || self.knows(id) {
+            } else if change.object.revision > self.revision || self.contains(id) {
                 changes.extend(self.apply_entry(&change.object, halls, now));
             }
             let after = self.entries.get(id.as_str()).map(|entry| &entry.server);
@@ -331,7 +331,7 @@
     }
 
     /// The store revision advanced without a change of any server.
-    pub fn on_quiet(&mut self, revision: u64) {
+    pub fn on_unchanged(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
@@ -344,7 +344,7 @@
         let missing: Vec<_> = self.missing().cloned().collect();
         let (expired, still_missing) = missing
             .into_iter()
-            .partition(|server| server.has_lapsed(now));
+            .partition(|server| server.is_retention_over(now));
         self.missing = still_missing;
         let mut changes = Vec::new();
         for server in expired {
@@ -398,7 +398,7 @@
         let server = entry.server;
         let notice = server.notice();
         self.past_notices.put(server.start_hash, notice, now);
-        server.on_gone();
+        server.on_removed();
         let left = self.entries.len();
         let by = by.max(self.revision);
         let incarnation = ServerIncarnation {
--- a/src/entry/fleet_apply.rs
+++ b/src/entry/fleet_apply.rs
@@ -81,7 +81,7 @@
         let before = self.entries.insert(id, entry);
         Some(match before {
             Some(before) => {
-                before.server.on_gone();
+                before.server.on_removed();
                 FleetChange::Restarted(record.id.clone())
             }
             None => FleetChange::Joined(record.id.clone()),
--- a/src/entry/fleet_server.rs
+++ b/src/entry/fleet_server.rs
@@ -148,7 +148,7 @@
 
     /// Whether it was removed.
     #[must_use]
-    pub fn is_gone(&self) -> bool {
+    pub fn is_removed(&self) -> bool {
         self.view.borrow().removed
     }
 
@@ -159,19 +159,19 @@
     }
 
     /// Counts a request that is sent to the server.
-    pub fn begin(&self) {
+    pub fn begin_request(&self) {
         self.view.borrow_mut().in_flight += 1;
     }
 
     /// Counts the end of a request, whatever its outcome is.
-    pub fn end(&self) {
+    pub fn end_request(&self) {
         let mut view = self.view.borrow_mut();
         view.in_flight = view.in_flight.saturating_sub(1);
     }
 
     /// Records the load that the server reported with an answer. Call it after
     /// [`Self::end_request`] of that answer's request.
-    pub fn on_load(&self, load: ServerLoad, now: Moment) {
+    pub fn on_load_report(&self, load: ServerLoad, now: Moment) {
         let mut view = self.view.borrow_mut();
         let own_in_flight = view.in_flight;
         view.observed_mut().load_report = Some(LoadReport {
@@ -183,7 +183,7 @@
 
     /// Whether this host recently sent requests for `object` to the server.
     #[must_use]
-    pub fn knows_object(&self, object: u64) -> bool {
+    pub fn has_object_cached(&self, object: u64) -> bool {
         let view = self.view.borrow();
         let observed = view.observed.as_ref();
         observed.is_some_and(|observed| observed.objects.contains(&object))
@@ -191,7 +191,7 @@
 
     /// Records a request for `object`. Returns whether this host recently sent one to the server
     /// before, so that the server probably has the object cached.
-    pub fn remember_object(&self, object: u64) -> bool {
+    pub fn record_object(&self, object: u64) -> bool {
         let mut view = self.view.borrow_mut();
         let view = view.observed_mut();
         let known = view.objects.iter().rposition(|known| *known == object);
@@ -208,7 +208,7 @@
     /// Records the time of an answer as a multiple of the typical time. Of two consecutive
     /// answers the faster counts: a slow server is slow twice in a row, while a single long answer
     /// may have waited or was a cache miss.
-    pub fn on_pace(&self, factor: f64, now: Moment) {
+    pub fn record_slowdown(&self, factor: f64, now: Moment) {
         let mut view = self.view.borrow_mut();
         let view = view.observed_mut();
         let last = view.last_factor.replace(factor).unwrap_or(1.0);
@@ -243,7 +243,7 @@
     }
 
     /// Another server answered at its address, so it has ended, whatever its store entry says.
-    pub fn on_displaced(&self) {
+    pub fn on_address_reused(&self) {
         self.view.borrow_mut().address_reused = true;
     }
 
@@ -301,7 +301,7 @@
 
     /// Age of the last load report, in milliseconds; `None` if there is none.
     #[must_use]
-    pub fn told_age_ms(&self, now: Moment) -> Option<u64> {
+    pub fn load_report_age_ms(&self, now: Moment) -> Option<u64> {
         let view = self.view.borrow();
         let load_report = view
             .observed
@@ -312,7 +312,7 @@
 
     /// Its current answer time as a multiple of the typical time.
     #[must_use]
-    pub fn pace(&self, now: Moment) -> f64 {
+    pub fn slowdown(&self, now: Moment) -> f64 {
         let view = self.view.borrow();
         let slowdown = view
             .observed
@@ -391,7 +391,7 @@
     }
 
     /// Whether its entry is missing and the retention time is over.
-    pub(super) fn has_lapsed(&self, now: Moment) -> bool {
+    pub(super) fn is_retention_over(&self, now: Moment) -> bool {
         self.view
             .borrow()
             .retained_until
@@ -399,7 +399,7 @@
     }
 
     /// The server was removed.
-    pub(super) fn on_gone(&self) {
+    pub(super) fn on_removed(&self) {
         self.view.borrow_mut().removed = true;
     }
 }
--- a/src/entry/fleet_told.rs
+++ b/src/entry/fleet_told.rs
@@ -38,7 +38,7 @@
             return None;
         }
         // One whose entry lapsed and came back is there again.
-        let ended = self.removed.since(since)?.filter(|id| !self.knows(id));
+        let ended = self.removed.since(since)?.filter(|id| !self.contains(id));
         let ended = ended.map(|id| GoneServer {
             id: id.clone(),
             hold_ms: 0,
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -157,7 +157,7 @@
             // Changes come in groups; taking a group at once saves calls.
             tokio::time::sleep(GROUP_PAUSE).await;
         } else if self.kind == ObjectKind::Servers {
-            self.host.fleet.borrow_mut().on_quiet(batch.revision);
+            self.host.fleet.borrow_mut().on_unchanged(batch.revision);
         }
         Ok(batch.revision.max(revision))
     }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -279,7 +279,7 @@
         let changes = self.fleet.borrow_mut().on_tick(now);
         self.log_fleet_changes(&changes, "timer");
         let fleet = self.fleet.borrow();
-        let is_gone = |id: &str| !fleet.knows(id);
+        let is_gone = |id: &str| !fleet.contains(id);
         self.pool.borrow_mut().on_tick(is_gone, now);
         self.forget_written_snapshot();
         self.look_for_all_hosts(now);
--- a/src/entry/route_times.rs
+++ b/src/entry/route_times.rs
@@ -109,7 +109,7 @@
         server.on_success(now);
         let slowdown = self.route_times.borrow_mut().on_answer(sample);
         if sample.object_cached {
-            server.on_pace(slowdown, now);
+            server.record_slowdown(slowdown, now);
         }
     }
 }
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -232,7 +232,7 @@
         .iter()
         .find(|server| *server.id == *first);
     let server = server.expect("the chosen one");
-    server.on_load(
+    server.on_load_report(
         ServerLoad {
             running: 3,
             waiting: 9,
@@ -271,7 +271,9 @@
         waiting: 3,
         slots: 3,
     };
-    server.expect("the chosen one").on_load(load, Moment(0));
+    server
+        .expect("the chosen one")
+        .on_load_report(load, Moment(0));
     let patient = ChoiceQuery {
         goal_left_ms: 500.0,
         cache_miss_ms: 200.0,
@@ -324,11 +326,11 @@
 fn one_long_answer_does_not_make_a_server_slow_and_two_do() {
     let fleet = fleet(1);
     let server = &fleet.of_service("desk")[0];
-    server.on_pace(1.0, Moment(0));
-    server.on_pace(9.0, Moment(1));
-    assert!(server.pace(Moment(1)) < 1.01);
-    server.on_pace(9.0, Moment(2));
-    assert!(server.pace(Moment(2)) > 2.0);
+    server.record_slowdown(1.0, Moment(0));
+    server.record_slowdown(9.0, Moment(1));
+    assert!(server.slowdown(Moment(1)) < 1.01);
+    server.record_slowdown(9.0, Moment(2));
+    assert!(server.slowdown(Moment(2)) > 2.0);
 }
 
 #[test]
@@ -394,7 +396,7 @@
 fn when_all_are_full_the_request_is_refused_with_a_time() {
     let fleet = fleet(6);
     for server in fleet.of_service("desk") {
-        server.on_load(
+        server.on_load_report(
             ServerLoad {
                 running: 3,
                 waiting: 30,
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -398,12 +398,12 @@
     assert!(server.on_failure(Moment(0)));
     assert!(server.is_ejected(Moment(999)));
     assert!(!server.is_ejected(Moment(1_000)));
-    server.begin();
+    server.begin_request();
     assert!(
         server.is_ejected(Moment(1_000)),
         "one request at a time until one succeeds"
     );
-    server.end();
+    server.end_request();
     assert!(
         server.on_failure(Moment(1_000)),
         "on trial one failure is enough"
@@ -422,7 +422,7 @@
         );
     }
     assert!(!server.is_ejected(Moment(6_000)));
-    server.on_displaced();
+    server.on_address_reused();
     assert!(!server.takes_work());
 }
 
@@ -431,13 +431,13 @@
     let mut fleet = Fleet::default();
     show_list(&mut fleet, &[object("a", 3)], 5, 0);
     let server = &fleet.of_service("desk")[0];
-    server.begin();
+    server.begin_request();
     let load = ServerLoad {
         running: 3,
         waiting: 2,
         slots: 4,
     };
-    server.on_load(load, Moment(0));
+    server.on_load_report(load, Moment(0));
     assert!((server.expected_load(Moment(0)) - 5.0).abs() < 0.01);
     let later = server.expected_load(Moment(10_000));
     assert!((later - 1.0).abs() < 0.01, "{later}");
@@ -449,15 +449,15 @@
     show_list(&mut fleet, &[object("a", 1)], 1, 0);
     let server = &fleet.of_service("desk")[0];
     for _ in 0..5 {
-        server.on_pace(20.0, Moment(0));
+        server.record_slowdown(20.0, Moment(0));
     }
-    let slow = server.pace(Moment(0));
+    let slow = server.slowdown(Moment(0));
     assert!(slow > 8.0, "{slow}");
     assert!(
-        server.pace(Moment(1_000)) > 4.0,
+        server.slowdown(Moment(1_000)) > 4.0,
         "it is not trusted at once"
     );
-    let later = server.pace(Moment(20_000));
+    let later = server.slowdown(Moment(20_000));
     assert!(later < 1.2, "it gets work again without an answer: {later}");
 }
 
--- a/tests/entry_restart.rs
+++ b/tests/entry_restart.rs
@@ -67,7 +67,7 @@
 fn a_later_start_under_the_same_identity_knows_nothing_of_before() {
     let mut fleet = fleet(Some(100));
     let former = only(&fleet);
-    former.remember_object(7);
+    former.record_object(7);
     former.on_unreachable(Moment(1));
     former.set_cold_until(Moment(90_000));
     former.on_cold_send(Moment(2));
@@ -76,17 +76,17 @@
         waiting: 9,
         slots: 4,
     };
-    former.on_load(load, Moment(2));
-    former.on_pace(9.0, Moment(2));
+    former.on_load_report(load, Moment(2));
+    former.record_slowdown(9.0, Moment(2));
     let changes = show(&mut fleet, object(Some(200), 9), false, 3);
     assert_eq!(changes, [FleetChange::Restarted("a".to_owned())]);
     let server = only(&fleet);
-    assert!(former.is_gone() && !former.takes_work());
-    assert!(!server.knows_object(7));
+    assert!(former.is_removed() && !former.takes_work());
+    assert!(!server.has_object_cached(7));
     assert!(!server.is_ejected(Moment(4)) && !server.is_cold(Moment(4)));
     assert_eq!(server.cold_sends(Moment(4), 1_000), 0);
     assert!(server.expected_load(Moment(4)) < 0.1);
-    assert!((server.pace(Moment(4)) - 1.0).abs() < 1e-9);
+    assert!((server.slowdown(Moment(4)) - 1.0).abs() < 1e-9);
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let changes = show(&mut fleet, unreadable, false, 1);
     assert!(matches!(changes[..], [FleetChange::Unreadable(_)]));
     let server = only(&fleet);
-    assert!(!server.takes_work() && !server.is_gone());
+    assert!(!server.takes_work() && !server.is_removed());
     let told: Vec<_> = fleet.objects().collect();
     assert_eq!(
         told[0].record.state,
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -213,7 +213,7 @@
 #[test]
 fn a_request_from_before_a_rest_does_not_keep_others_away_after_it() {
     let fleet = fleet_of(&["a", "b"]);
-    server(&fleet, "a").begin();
+    server(&fleet, "a").begin_request();
     rest(server(&fleet, "a"), 0, 3_000);
     assert_eq!(offered(&fleet, &[], 3_100), ids(&["a", "b"]));
 }
