--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -110,7 +110,7 @@
                 // What only seems to come from the server concerns this host alone: it passes the answer on.
                 self.on_server_leaving(server, "answer");
                 if claims.proof == AnswerProof::Proven && !server.is_draining() {
-                    self.leaving_news.push(server.start_hash);
+                    self.leaving_news.push(server.incarnation_hash);
                 }
             }
         }
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -157,12 +157,12 @@
 /// The servers of this availability that are compared.
 fn find_candidates(
     query: &ChoiceQuery<'_>,
-    standing: ServerStanding,
+    availability: ServerStanding,
     random: &mut SmallRng,
 ) -> Vec<rc::Rc<FleetServer>> {
     match query.object {
-        Some(object) => rank(query, object, standing),
-        None => sample_servers(query, standing, random),
+        Some(object) => rank(query, object, availability),
+        None => sample_servers(query, availability, random),
     }
 }
 
@@ -194,22 +194,26 @@
     late_candidates.position(|candidate| has_capacity(query, &candidate.server))
 }
 
-fn is_eligible(query: &ChoiceQuery<'_>, server: &FleetServer, standing: ServerStanding) -> bool {
-    availability_for(query, server) == standing
-        && query.limits.is_open(server.start_hash, query.now)
+fn is_eligible(
+    query: &ChoiceQuery<'_>,
+    server: &FleetServer,
+    availability: ServerStanding,
+) -> bool {
+    availability_for(query, server) == availability
+        && query.limits.is_open(server.incarnation_hash, query.now)
         && is_eligible_later(query, server)
 }
 
 /// A request that another server refused is not used as the probe of a server whose backoff has
 /// just ended, because this may be its last attempt.
 fn availability_for(query: &ChoiceQuery<'_>, server: &FleetServer) -> ServerStanding {
-    let standing = server.standing(query.leave_ms, query.now);
+    let availability = server.availability(query.leave_ms, query.now);
     let is_retry = !query.tried.is_empty();
-    match standing {
+    match availability {
         ServerStanding::Regular if is_retry && server.notice().is_on_trial(query.now) => {
             ServerStanding::LastResort
         }
-        standing => standing,
+        availability => availability,
     }
 }
 
@@ -238,7 +242,7 @@
 fn rank(
     query: &ChoiceQuery<'_>,
     object: u64,
-    standing: ServerStanding,
+    availability: ServerStanding,
 ) -> Vec<rc::Rc<FleetServer>> {
     let max_slots = query.servers.iter().map(|server| server.slots).max();
     let max_slots = f64::from(max_slots.unwrap_or(1));
@@ -248,7 +252,7 @@
     for server in query.servers {
         let sample = hash::uniform(object ^ server.hash);
         if !(home.can_enter(sample) || global.can_enter(sample))
-            || !is_eligible(query, server, standing)
+            || !is_eligible(query, server, availability)
         {
             continue;
         }
@@ -316,7 +320,7 @@
 /// server (Mitzenmacher, 2001).
 fn sample_servers(
     query: &ChoiceQuery<'_>,
-    standing: ServerStanding,
+    availability: ServerStanding,
     random: &mut SmallRng,
 ) -> Vec<rc::Rc<FleetServer>> {
     let servers = query.servers;
@@ -324,7 +328,7 @@
     let sampled: Vec<rc::Rc<FleetServer>> = index::sample(random, servers.len(), tries)
         .iter()
         .map(|index| &servers[index])
-        .filter(|server| is_eligible(query, server, standing))
+        .filter(|server| is_eligible(query, server, availability))
         .take(SAMPLED_SERVERS)
         .cloned()
         .collect();
@@ -334,7 +338,7 @@
     // Only few servers are eligible, for example because a region is unreachable.
     let eligible = servers
         .iter()
-        .filter(|server| is_eligible(query, server, standing));
+        .filter(|server| is_eligible(query, server, availability));
     eligible.cloned().choose_multiple(random, SAMPLED_SERVERS)
 }
 
@@ -358,7 +362,7 @@
     let rtt_ms = query.latencies.rtt_ms(&server.region, query.region);
     // The owner of the server's limit is in the server's region and is asked for a token first,
     // which takes one more round trip.
-    let is_limited = query.limits.word_of(server.start_hash).is_some();
+    let is_limited = query.limits.word_of(server.incarnation_hash).is_some();
     let round_trips = if is_limited { 2.0 } else { 1.0 };
     ExpectedAnswer {
         place,
--- a/src/entry/choice_refusal.rs
+++ b/src/entry/choice_refusal.rs
@@ -19,7 +19,7 @@
     let closed =
         servers.filter(|server| server.takes_work() && choice::is_eligible_later(query, server));
     let times = closed.filter_map(|server| {
-        let limit = query.limits.opens_at(server.start_hash);
+        let limit = query.limits.opens_at(server.incarnation_hash);
         limit.max(server.notice().rest_until())
     });
     times.min()
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -219,7 +219,7 @@
     };
     let time_left = time::Duration::from_millis(terms.deadline.since(host.now()));
     let message = build_message(host, server, request, time_left);
-    let sent_in = host.server_limits.table().spell_of(server.start_hash);
+    let sent_in = host.server_limits.table().spell_of(server.incarnation_hash);
     let (head, body) = match permit.write(&mut sender, message).await {
         Ok(answer) => answer.into_parts(),
         Err(mut fault) => {
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -115,9 +115,9 @@
     /// incarnation may be listed again, now or later.
     pub fn on_late_notice(&mut self, server: &FleetServer, now: Moment) {
         let notice = server.notice();
-        match self.index.of_incarnation(server.start_hash) {
+        match self.index.of_incarnation(server.incarnation_hash) {
             Some(current) => current.change_notice(|known| known.join(notice)),
-            None => self.past_notices.put(server.start_hash, notice, now),
+            None => self.past_notices.put(server.incarnation_hash, notice, now),
         }
     }
 
@@ -129,8 +129,8 @@
 
     /// The server with this incarnation hash, if it is known and not removed.
     #[must_use]
-    pub fn of_incarnation(&self, start_hash: u64) -> Option<rc::Rc<FleetServer>> {
-        self.index.of_incarnation(start_hash).cloned()
+    pub fn of_incarnation(&self, incarnation_hash: u64) -> Option<rc::Rc<FleetServer>> {
+        self.index.of_incarnation(incarnation_hash).cloned()
     }
 
     /// How often a server was added to the index, a measure of the cost of changes.
@@ -397,7 +397,7 @@
         let entry = self.entries.remove(id)?;
         let server = entry.server;
         let notice = server.notice();
-        self.past_notices.put(server.start_hash, notice, now);
+        self.past_notices.put(server.incarnation_hash, notice, now);
         server.on_removed();
         let left = self.entries.len();
         let by = by.max(self.revision);
--- a/src/entry/fleet_apply.rs
+++ b/src/entry/fleet_apply.rs
@@ -66,7 +66,7 @@
         let region = halls.region_of(&record.hall);
         let server = FleetServer::from_record(record, region, &mut self.names);
         server.update(record, now);
-        if let Some(notice) = self.past_notices.take(server.start_hash) {
+        if let Some(notice) = self.past_notices.take(server.incarnation_hash) {
             server.change_notice(|known| *known = notice);
         }
         if let Some(until) = ejected_until {
--- a/src/entry/fleet_index.rs
+++ b/src/entry/fleet_index.rs
@@ -25,8 +25,8 @@
     }
 
     /// The server with this incarnation hash.
-    pub(super) fn of_incarnation(&self, start_hash: u64) -> Option<&rc::Rc<FleetServer>> {
-        self.by_incarnation.get(&start_hash)
+    pub(super) fn of_incarnation(&self, incarnation_hash: u64) -> Option<&rc::Rc<FleetServer>> {
+        self.by_incarnation.get(&incarnation_hash)
     }
 
     /// How often a server was added.
@@ -41,7 +41,7 @@
         self.by_incarnation.clear();
         for server in servers {
             self.by_incarnation
-                .insert(server.start_hash, rc::Rc::clone(server));
+                .insert(server.incarnation_hash, rc::Rc::clone(server));
             self.list_of(server).push(rc::Rc::clone(server));
             self.indexed += 1;
         }
@@ -73,7 +73,7 @@
     }
 
     fn remove(&mut self, server: &FleetServer) {
-        self.by_incarnation.remove(&server.start_hash);
+        self.by_incarnation.remove(&server.incarnation_hash);
         let list = self.list_of(server);
         if let Ok(place) = list.binary_search_by(|other| other.id.cmp(&server.id)) {
             list.remove(place);
@@ -85,7 +85,7 @@
 
     fn insert(&mut self, server: &rc::Rc<FleetServer>) {
         self.by_incarnation
-            .insert(server.start_hash, rc::Rc::clone(server));
+            .insert(server.incarnation_hash, rc::Rc::clone(server));
         let list = self.list_of(server);
         let place = list.partition_point(|other| other.id < server.id);
         list.insert(place, rc::Rc::clone(server));
--- a/src/entry/fleet_server.rs
+++ b/src/entry/fleet_server.rs
@@ -84,7 +84,7 @@
     pub hash: u64,
     /// Hash of identity and start time, so that information about an earlier incarnation is not applied to
     /// this one.
-    pub start_hash: u64,
+    pub incarnation_hash: u64,
     view: cell::RefCell<ServerView>,
 }
 
@@ -104,7 +104,7 @@
             version: record.version,
             slots: record.slots.max(1),
             hash,
-            start_hash: hash::mix(hash ^ record.born.unwrap_or(0)),
+            incarnation_hash: hash::mix(hash ^ record.born.unwrap_or(0)),
             view: cell::RefCell::default(),
         }
     }
@@ -126,7 +126,7 @@
     /// Whether it may get new requests now; `leave_ms` is how long a leaving server continues to
     /// serve at least.
     #[must_use]
-    pub fn standing(&self, leave_ms: u64, now: Moment) -> ServerStanding {
+    pub fn availability(&self, leave_ms: u64, now: Moment) -> ServerStanding {
         let view = self.view.borrow();
         if view.is_in_service() {
             view.notice().standing(leave_ms, now)
--- a/src/entry/leaving_news.rs
+++ b/src/entry/leaving_news.rs
@@ -66,13 +66,13 @@
 impl<W: WireProtocol> EntryHost<W> {
     /// Another host tells of servers that leave.
     pub(super) fn on_leaving_told(&self, servers: &[u64], source: &str) {
-        for start_hash in servers {
-            let server = self.fleet.borrow().of_incarnation(*start_hash);
+        for incarnation_hash in servers {
+            let server = self.fleet.borrow().of_incarnation(*incarnation_hash);
             let Some(server) = server.filter(|server| !server.is_draining()) else {
                 continue;
             };
             self.on_server_leaving(&server, source);
-            self.leaving_news.push(*start_hash);
+            self.leaving_news.push(*incarnation_hash);
         }
     }
 
--- a/src/entry/past_notices.rs
+++ b/src/entry/past_notices.rs
@@ -20,16 +20,16 @@
 
 impl PastNotices {
     /// A server is gone.
-    pub(super) fn put(&mut self, start_hash: u64, notice: ServerNotice, now: Moment) {
+    pub(super) fn put(&mut self, incarnation_hash: u64, notice: ServerNotice, now: Moment) {
         if notice.says_something() {
             let past = PastNotice { notice, since: now };
-            self.notices.insert(start_hash, past);
+            self.notices.insert(incarnation_hash, past);
         }
     }
 
     /// What a server told that is there, or there again.
-    pub(super) fn take(&mut self, start_hash: u64) -> Option<ServerNotice> {
-        let past = self.notices.remove(&start_hash);
+    pub(super) fn take(&mut self, incarnation_hash: u64) -> Option<ServerNotice> {
+        let past = self.notices.remove(&incarnation_hash);
         past.map(|past| past.notice)
     }
 
--- a/src/entry/send_gate.rs
+++ b/src/entry/send_gate.rs
@@ -63,7 +63,7 @@
             return Err(WithheldCause::HallEvacuated);
         }
         let leave_ms = host.settings().bounds.leave_ms();
-        match server.standing(leave_ms, host.now()) {
+        match server.availability(leave_ms, host.now()) {
             ServerStanding::Closed => return Err(WithheldCause::ServerClosed),
             ServerStanding::LastResort => note_last_resort(host, server, id),
             ServerStanding::Regular => {}
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -66,7 +66,7 @@
     /// An answer of `server` has come.
     pub(super) fn on_named_limit(&self, server: &FleetServer, answer: &NamedInAnswer) {
         let change = self.server_limits.table.borrow_mut().on_answer(
-            server.start_hash,
+            server.incarnation_hash,
             answer.named,
             answer.sent_in,
             answer.proves,
@@ -94,7 +94,11 @@
     /// Finds the right to send one request to `server`. Where there is none, the next choices pass the server over
     /// until one may be had.
     pub(super) async fn find_send_right(&self, server: &FleetServer) -> Option<SendRight> {
-        let word = self.server_limits.table.borrow().word_of(server.start_hash);
+        let word = self
+            .server_limits
+            .table
+            .borrow()
+            .word_of(server.incarnation_hash);
         let Some(word) = word else {
             return Some(SendRight::NotNeeded);
         };
@@ -116,14 +120,14 @@
             }
         };
         let mut table = self.server_limits.table.borrow_mut();
-        table.on_denied(server.start_hash, wait_ms, self.now());
+        table.on_denied(server.incarnation_hash, wait_ms, self.now());
         None
     }
 
     /// Whether `right` allows to send one request to `server` now.
     pub(super) fn is_right_good(&self, server: &FleetServer, right: SendRight) -> bool {
         let limits = self.server_limits.table.borrow();
-        let is_limited = limits.rate_of(server.start_hash).is_some();
+        let is_limited = limits.rate_of(server.incarnation_hash).is_some();
         right.is_good(is_limited, self.now())
     }
 
@@ -132,7 +136,7 @@
             KeeperPlace::Own => Some(self.grant_send(server)),
             KeeperPlace::Nowhere => None,
             KeeperPlace::At { address, is_near } => {
-                self.server_limits.on_other_keeper(server.start_hash);
+                self.server_limits.on_other_keeper(server.incarnation_hash);
                 self.ask_keeper(address, is_near, word).await
             }
         }
@@ -169,7 +173,7 @@
         let peers = self.peers.borrow();
         let query = KeeperQuery {
             region: &server.region,
-            server: server.start_hash,
+            server: server.incarnation_hash,
             own: &own,
             may_keep: !self.is_leaving(),
         };
@@ -183,7 +187,7 @@
             return RightVerdict::NotHere;
         }
         let mut table = self.server_limits.table.borrow_mut();
-        table.grant(server.start_hash, self.now())
+        table.grant(server.incarnation_hash, self.now())
     }
 
     /// Takes in a word about a server that is known here; of others nothing can be asked.
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -555,9 +555,9 @@
     let mut limits = ServerLimitTable::default();
     let limit = NamedLimit::from_texts(std::iter::once("2"));
     for server in servers {
-        limits.on_answer(server.start_hash, limit, None, true, Moment(0));
+        limits.on_answer(server.incarnation_hash, limit, None, true, Moment(0));
     }
-    limits.on_denied(servers[0].start_hash, 700, Moment(0));
+    limits.on_denied(servers[0].incarnation_hash, 700, Moment(0));
     let input = QueryInput {
         latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
@@ -571,8 +571,8 @@
     assert_eq!(chosen(&input).expect("a server"), servers[1].id.to_string());
     let mut both = ServerLimitTable::default();
     for (server, wait_ms) in servers.iter().zip([700, 400]) {
-        both.on_answer(server.start_hash, limit, None, true, Moment(0));
-        both.on_denied(server.start_hash, wait_ms, Moment(0));
+        both.on_answer(server.incarnation_hash, limit, None, true, Moment(0));
+        both.on_denied(server.incarnation_hash, wait_ms, Moment(0));
     }
     let refused = choose(&QueryInput {
         limits: &both,
--- a/tests/entry_fleet_size.rs
+++ b/tests/entry_fleet_size.rs
@@ -125,14 +125,14 @@
         for service in SERVICES {
             let incarnations = |fleet: &Fleet| -> Vec<u64> {
                 let servers = fleet.of_service(service).iter();
-                servers.map(|server| server.start_hash).collect()
+                servers.map(|server| server.incarnation_hash).collect()
             };
             assert_eq!(incarnations(&fleet), incarnations(&plain), "{service}");
             for incarnation in incarnations(&plain) {
                 let found = fleet
                     .of_incarnation(incarnation)
                     .expect("it is found by its start");
-                assert_eq!(found.start_hash, incarnation);
+                assert_eq!(found.incarnation_hash, incarnation);
             }
         }
     }
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -149,7 +149,7 @@
     list(&mut fleet, &[object("b", 1, 1)], 9);
     list(&mut fleet, &[object("a", 10, 1), object("b", 1, 1)], 10);
     assert_eq!(
-        server(&fleet, "a").standing(LEAVE_MS, Moment(10_000)),
+        server(&fleet, "a").availability(LEAVE_MS, Moment(10_000)),
         ServerStanding::Closed
     );
 }
