--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -6,7 +6,7 @@
 
 use std::{cmp, collections, rc};
 
-use super::fleet_change::{ChangeSpan, FleetChange, LapsedServer};
+use super::fleet_change::{ChangeSpan, FleetChange, RetainedServer};
 use super::fleet_index::FleetIndex;
 use super::fleet_server::FleetServer;
 use super::lapse_hold::{LapseHold, MissingSource, ReturnSight};
@@ -380,9 +380,9 @@
         if !is_known {
             self.missing.push(server);
         }
-        Some(FleetChange::Lapsed(LapsedServer {
+        Some(FleetChange::Retained(RetainedServer {
             id: id.to_owned(),
-            hold_ms: retained.until.since(now),
+            retained_ms: retained.until.since(now),
             reason: retained.reason,
         }))
     }
@@ -406,6 +406,6 @@
             born: entry.stored.born,
         };
         self.removed.on_removed(incarnation, by, kind, left);
-        Some(FleetChange::Gone(id.to_owned()))
+        Some(FleetChange::Removed(id.to_owned()))
     }
 }
--- a/src/entry/fleet_change.rs
+++ b/src/entry/fleet_change.rs
@@ -14,9 +14,9 @@
     Draining(String),
     /// The server's entry is missing and may only have expired; the server is retained for a short
     /// time.
-    Lapsed(LapsedServer),
+    Retained(RetainedServer),
     /// The server was removed.
-    Gone(String),
+    Removed(String),
     /// An entry could not be parsed.
     Unreadable(String),
 }
@@ -33,9 +33,9 @@
 
     /// The identity of a removed server.
     #[must_use]
-    pub fn gone(&self) -> Option<&str> {
+    pub fn removed(&self) -> Option<&str> {
         match self {
-            Self::Gone(id) => Some(id),
+            Self::Removed(id) => Some(id),
             _ => None,
         }
     }
@@ -43,11 +43,11 @@
 
 /// A server that is retained although its entry is missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LapsedServer {
+pub struct RetainedServer {
     /// The server's identity.
     pub id: String,
     /// How much longer it is retained, in milliseconds.
-    pub hold_ms: u64,
+    pub retained_ms: u64,
     /// Why it is retained.
     pub reason: HoldReason,
 }
--- a/src/entry/host_fleet.rs
+++ b/src/entry/host_fleet.rs
@@ -57,8 +57,8 @@
     pub fn log_fleet_changes(&self, changes: &[FleetChange], source: &str) {
         let joined = changes.iter().filter_map(FleetChange::joined);
         self.log_servers(EventCode::ServerJoined, joined, source);
-        let gone = changes.iter().filter_map(FleetChange::gone);
-        self.log_servers(EventCode::ServerGone, gone, source);
+        let removed = changes.iter().filter_map(FleetChange::removed);
+        self.log_servers(EventCode::ServerGone, removed, source);
         for change in changes {
             self.log_change(change, source);
         }
@@ -88,13 +88,13 @@
     fn log_change(&self, change: &FleetChange, source: &str) {
         let (event, server) = match change {
             // Logged together above.
-            FleetChange::Joined(_) | FleetChange::Gone(_) => return,
+            FleetChange::Joined(_) | FleetChange::Removed(_) => return,
             FleetChange::Restarted(id) => {
                 self.pool.borrow_mut().forget(id);
                 (EventCode::ServerRestarted, id)
             }
             FleetChange::Draining(id) => (EventCode::ServerLeaving, id),
-            FleetChange::Lapsed(lapsed) => (EventCode::ServerLapsed, &lapsed.id),
+            FleetChange::Retained(retained) => (EventCode::ServerLapsed, &retained.id),
             FleetChange::Unreadable(reason) => (EventCode::ObjectUnreadable, reason),
         };
         let mut fields = json!({
@@ -102,9 +102,9 @@
             "source": source,
             "revision": self.fleet.borrow().revision(),
         });
-        if let FleetChange::Lapsed(lapsed) = change {
-            fields["hold_ms"] = lapsed.hold_ms.into();
-            fields["reason"] = lapsed.reason.as_str().into();
+        if let FleetChange::Retained(retained) = change {
+            fields["hold_ms"] = retained.retained_ms.into();
+            fields["reason"] = retained.reason.as_str().into();
         }
         self.note(event, fields);
     }
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -112,7 +112,7 @@
         noted,
         [
             FleetChange::Draining("a".to_owned()),
-            FleetChange::Gone("b".to_owned()),
+            FleetChange::Removed("b".to_owned()),
             FleetChange::Joined("c".to_owned()),
         ]
     );
@@ -164,7 +164,7 @@
     );
     assert!(fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS - 1)).is_empty());
     let noted = fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS));
-    assert_eq!(noted, [FleetChange::Gone("b".to_owned())]);
+    assert_eq!(noted, [FleetChange::Removed("b".to_owned())]);
     assert_eq!(ids(&fleet), ["a"]);
 }
 
