--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -71,7 +71,7 @@
             cache_miss_ms: 450.0,
             goal_left_ms: 400.0,
             cold_share: ColdShare {
-                all_per_s: 20.0,
+                total_per_s: 20.0,
                 hosts: 80,
                 own_hash: 1,
                 other_hashes: None,
--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -159,7 +159,7 @@
             cache_miss_ms: 1_900.0,
             goal_left_ms: 1_200.0,
             cold_share: ColdShare {
-                all_per_s: 20.0,
+                total_per_s: 20.0,
                 hosts: 986,
                 own_hash: 1,
                 other_hashes: None,
--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -215,11 +215,11 @@
     /// Counts the next attempt; a retry must be within the service's budget.
     fn count_attempt(&mut self) -> bool {
         if self.sent > 0 {
-            return self.host.try_repeat(&self.open.service);
+            return self.host.try_retry(&self.open.service);
         }
         if !self.is_counted {
             self.is_counted = true;
-            self.host.on_first_offer(&self.open.service);
+            self.host.on_first_attempt(&self.open.service);
         }
         true
     }
--- a/src/entry/budget.rs
+++ b/src/entry/budget.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ColdShare {
     /// Requests that all hosts together may send within a second.
-    pub all_per_s: f64,
+    pub total_per_s: f64,
     /// Number of hosts that share the limit; may exceed the number of listed hashes.
     pub hosts: u32,
     /// Hash of this host's name.
@@ -39,7 +39,7 @@
     /// one each. They are selected by a hash of host and server.
     #[must_use]
     pub fn allows(&self, server: &FleetServer, now: Moment) -> bool {
-        let planned = self.all_per_s * PLANNED_FRACTION;
+        let planned = self.total_per_s * PLANNED_FRACTION;
         let own = planned / f64::from(self.hosts.max(1));
         let sent = server.cold_sends(now, COLD_WINDOW_MS) as f64;
         if own >= 1.0 {
@@ -60,7 +60,7 @@
 struct RetryStep {
     number: u64,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
 /// Counts the requests to a service and their retries, over a sliding window.
@@ -104,22 +104,22 @@
     /// use ledgespool::timer::Moment;
     /// let share = budget::RetryShare { ratio: 0.2, slack: 0.0, hosts: 9 };
     /// let mut window = budget::RetryWindow::with_length(10_000);
-    /// assert!(!window.try_repeat(&share, Moment(0)));
+    /// assert!(!window.try_retry(&share, Moment(0)));
     /// for _ in 0..10 {
     ///     window.on_request(Moment(1));
     /// }
-    /// assert!(window.try_repeat(&share, Moment(2)));
+    /// assert!(window.try_retry(&share, Moment(2)));
     /// ```
-    pub fn try_repeat(&mut self, share: &RetryShare, now: Moment) -> bool {
+    pub fn try_retry(&mut self, share: &RetryShare, now: Moment) -> bool {
         self.step(now);
         let requests: u64 = self.steps.iter().map(|step| step.requests).sum();
-        let repeats: u64 = self.steps.iter().map(|step| step.repeats).sum();
+        let retries: u64 = self.steps.iter().map(|step| step.retries).sum();
         let slack = share.slack / f64::from(share.hosts.max(1));
         let allowed = (requests as f64 * share.ratio + slack) * PLANNED_FRACTION;
-        if repeats as f64 + 1.0 > allowed {
+        if retries as f64 + 1.0 > allowed {
             return false;
         }
-        self.step(now).repeats += 1;
+        self.step(now).retries += 1;
         true
     }
 
--- a/src/entry/host_budget.rs
+++ b/src/entry/host_budget.rs
@@ -11,7 +11,7 @@
     pub fn cold_share(&self, cold_per_s: f64) -> ColdShare {
         let settings = self.settings();
         ColdShare {
-            all_per_s: cold_per_s * settings.bounds.cold_factor + settings.bounds.cold_slack,
+            total_per_s: cold_per_s * settings.bounds.cold_factor + settings.bounds.cold_slack,
             hosts: self.peers.borrow().host_count(),
             own_hash: hash::of_name(&settings.name),
             other_hashes: self.peers.borrow().other_hashes(),
@@ -19,16 +19,16 @@
     }
 
     /// Counts the first attempt to send a request to `service`.
-    pub fn on_first_offer(&self, service: &str) {
+    pub fn on_first_attempt(&self, service: &str) {
         let now = self.now();
         self.with_retries(service, |window| window.on_request(now));
     }
 
     /// Takes one retry from the budget of `service`; returns whether it is allowed.
-    pub fn try_repeat(&self, service: &str) -> bool {
+    pub fn try_retry(&self, service: &str) -> bool {
         let share = self.retry_share();
         let now = self.now();
-        let allowed = self.with_retries(service, |window| window.try_repeat(&share, now));
+        let allowed = self.with_retries(service, |window| window.try_retry(&share, now));
         let mut metrics = self.metrics.borrow_mut();
         if allowed {
             metrics.repeats += 1;
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -129,7 +129,7 @@
         cache_miss_ms: 300.0,
         goal_left_ms: 400.0,
         cold_share: ColdShare {
-            all_per_s: 20.0,
+            total_per_s: 20.0,
             hosts: 1,
             own_hash: 1,
             other_hashes: None,
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -498,7 +498,7 @@
             };
             let others: Vec<u64> = (0..hosts).filter(|other| *other != number).map(hash).collect();
             let share = ColdShare {
-                all_per_s: limit,
+                total_per_s: limit,
                 hosts,
                 own_hash: hash(number),
                 other_hashes: Some(others.into()),
@@ -529,7 +529,7 @@
             if !repeat {
                 window.on_request(Moment(now));
                 requests.push(now);
-            } else if window.try_repeat(&share, Moment(now)) {
+            } else if window.try_retry(&share, Moment(now)) {
                 repeats.push(now);
             }
         }
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -370,7 +370,7 @@
         slack: SLACK,
         hosts: peers.host_count(),
     };
-    assert!(!RetryWindow::with_length(10_000).try_repeat(&share, Moment(0)));
+    assert!(!RetryWindow::with_length(10_000).try_retry(&share, Moment(0)));
 }
 
 /// Hosts count as known once there was time to hear of them, which may be too early in a large deployment.
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -83,7 +83,7 @@
         cache_miss_ms: 300.0,
         goal_left_ms: 1_000.0,
         cold_share: ColdShare {
-            all_per_s: 20.0,
+            total_per_s: 20.0,
             hosts: 1,
             own_hash: 1,
             other_hashes: None,
