--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_found() {
+fn finds_the_route_with_the_longest_prefix() {
     let table = table(vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn shares_are_laid_end_to_end() {
+fn service_shares_are_cumulative() {
     let route = route("r", "a", "/");
     assert_eq!(route.service_at(0.0), Some("desk"));
     assert_eq!(route.service_at(0.899), Some("desk"));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn an_object_keeps_its_server_and_moves_on_only_when_it_is_full() {
+fn an_object_moves_only_when_its_server_is_full() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let input = QueryInput {
@@ -231,7 +231,7 @@
         .of_service("desk")
         .iter()
         .find(|server| *server.id == *first);
-    let server = server.expect("the chosen one");
+    let server = server.expect("the selected server");
     server.on_load_report(
         ServerLoad {
             running: 3,
@@ -246,7 +246,7 @@
 /// A cache miss delays the requests behind it. A server that has the object cached is therefore
 /// preferred to an idle one that does not, as long as its answer is in time.
 #[test]
-fn a_short_wait_at_a_server_that_knows_the_object_beats_a_first_run() {
+fn a_short_wait_for_a_cached_object_beats_a_cache_miss() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let input = QueryInput {
@@ -272,7 +272,7 @@
         slots: 3,
     };
     server
-        .expect("the chosen one")
+        .expect("the selected server")
         .on_load_report(load, Moment(0));
     let patient = ChoiceQuery {
         goal_left_ms: 500.0,
@@ -296,7 +296,7 @@
 /// With region weights, a region's objects stay on its own servers; the candidates after the first
 /// may be elsewhere.
 #[test]
-fn a_region_with_room_keeps_its_objects_and_has_alternatives_elsewhere() {
+fn a_region_with_capacity_keeps_its_objects_and_has_alternatives_elsewhere() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let weights =
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn one_long_answer_does_not_make_a_server_slow_and_two_do() {
+fn two_consecutive_long_answers_make_a_server_slow() {
     let fleet = fleet(1);
     let server = &fleet.of_service("desk")[0];
     server.record_slowdown(1.0, Moment(0));
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn homes_evacuated_halls_and_tried_servers_are_kept_to() {
+fn respects_homes_evacuated_halls_and_tried_servers() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let home = ["two".to_owned()];
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn when_all_are_full_the_request_is_refused_with_a_time() {
+fn a_request_is_refused_with_a_retry_time_when_all_servers_are_full() {
     let fleet = fleet(6);
     for server in fleet.of_service("desk") {
         server.on_load_report(
@@ -426,7 +426,7 @@
                 assert_eq!((reason, free_slots), (NoServer::AllFull, 0));
                 assert!((50..=150).contains(&retry_after_ms), "{retry_after_ms}");
             }
-            ServerChoice::Selected(chosen) => panic!("offered to {}", chosen.server.id),
+            ServerChoice::Selected(chosen) => panic!("selected {}", chosen.server.id),
         }
     }
 }
@@ -440,7 +440,7 @@
 
     /// An object moves only if its own server leaves, and then to the next server in rank.
     #[test]
-    fn other_servers_coming_and_going_moves_no_object(object in any::<u64>(), gone in 0_usize..24) {
+    fn a_change_of_other_servers_moves_no_object(object in any::<u64>(), leaving_server in 0_usize..24) {
         let whole = fleet(24);
         let none = BTreeSet::new();
         let input = QueryInput {
@@ -454,7 +454,7 @@
             limits: &ServerLimitTable::default(),
         };
         let first = chosen(&input).expect("a server");
-        let leaving = [format!("i-{gone:03}")];
+        let leaving = [format!("i-{leaving_server:03}")];
         let after = chosen(&QueryInput { tried: &leaving, ..input }).expect("a server");
         if leaving[0] != first {
             prop_assert_eq!(after, first);
@@ -463,7 +463,7 @@
 
     /// The servers that are skipped without computing their ranks would not be among the first.
     #[test]
-    fn the_first_in_rank_are_those_of_the_plain_version(
+    fn ranking_matches_the_reference(
         object in any::<u64>(),
         slots in proptest::collection::vec(1_u32..20, 1..120),
         evacuate in any::<bool>(),
@@ -507,8 +507,8 @@
                 let supply = f64::from(slots[at]) / all_slots;
                 work[at] += demand * weights.of(names[at]) * supply;
                 if at == own {
-                    let stays = (supply / demand).min(1.0);
-                    prop_assert!((weights.of(names[at]) * supply - stays).abs() < 1e-9 + 0.02 * supply);
+                    let expected_fraction = (supply / demand).min(1.0);
+                    prop_assert!((weights.of(names[at]) * supply - expected_fraction).abs() < 1e-9 + 0.02 * supply);
                 }
             }
         }
@@ -522,7 +522,7 @@
     /// On idle servers the one with the lowest rank is selected. Excluding each selected server in
     /// turn must give every server exactly once, as sorting by rank does.
     #[test]
-    fn servers_are_tried_in_one_order(object in any::<u64>()) {
+    fn excluding_tried_servers_selects_each_server_once(object in any::<u64>()) {
         let whole = fleet(9);
         let none = BTreeSet::new();
         let mut tried: Vec<String> = Vec::new();
@@ -548,7 +548,7 @@
 /// A server at its limit is skipped; if every server is, the retry-after time is when the first one
 /// may accept a request.
 #[test]
-fn a_server_without_rights_is_passed_over_until_one_may_be_had() {
+fn a_server_without_tokens_is_skipped_until_one_is_available() {
     let fleet = fleet(2);
     let none = BTreeSet::new();
     let servers = fleet.of_service("desk");
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -62,7 +62,7 @@
 }
 
 /// Applies a complete list from the store at `at` milliseconds.
-fn show_list(
+fn apply_list(
     fleet: &mut Fleet,
     objects: &[StoredObject],
     revision: u64,
@@ -78,7 +78,7 @@
 }
 
 /// Applies changes from the store at `at` milliseconds.
-fn show_changes(
+fn apply_changes(
     fleet: &mut Fleet,
     changes: &[ObjectChange],
     span: ChangeSpan,
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn a_list_and_changes_make_the_fleet() {
+fn applies_a_list_and_changes() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
     assert_eq!(ids(&fleet), ["a", "b"]);
     let mut draining = object("a", 6);
     draining.content = ObjectContent::Server(record("a", ServerState::Draining, 0));
@@ -107,9 +107,9 @@
         change(object("b", 4), true),
         change(object("c", 8), false),
     ];
-    let noted = show_changes(&mut fleet, &changes, span(8), 1);
+    let applied = apply_changes(&mut fleet, &changes, span(8), 1);
     assert_eq!(
-        noted,
+        applied,
         [
             FleetChange::Draining("a".to_owned()),
             FleetChange::Removed("b".to_owned()),
@@ -122,65 +122,65 @@
 }
 
 #[test]
-fn a_deletion_counts_after_a_snapshot_although_it_names_the_old_revision() {
+fn a_deletion_with_an_old_revision_applies_after_a_snapshot() {
     let mut fleet = Fleet::default();
     // A snapshot at 20 has a record that last changed at 3; the store reports its deletion with 3
     // too.
-    show_list(&mut fleet, &[object("a", 3)], 20, 0);
-    show_changes(&mut fleet, &[change(object("a", 3), true)], span(25), 1);
+    apply_list(&mut fleet, &[object("a", 3)], 20, 0);
+    apply_changes(&mut fleet, &[change(object("a", 3), true)], span(25), 1);
     assert!(ids(&fleet).is_empty());
 }
 
 #[test]
-fn a_change_from_before_the_list_brings_nothing_back() {
+fn a_change_older_than_the_list_restores_nothing() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[], 20, 0);
-    show_changes(&mut fleet, &[change(object("a", 7), false)], span(20), 1);
+    apply_list(&mut fleet, &[], 20, 0);
+    apply_changes(&mut fleet, &[change(object("a", 7), false)], span(20), 1);
     assert!(ids(&fleet).is_empty());
 }
 
 #[test]
 fn an_older_list_changes_nothing() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3)], 20, 0);
-    show_list(&mut fleet, &[], 10, 1);
+    apply_list(&mut fleet, &[object("a", 3)], 20, 0);
+    apply_list(&mut fleet, &[], 10, 1);
     assert_eq!(ids(&fleet), ["a"]);
 }
 
 #[test]
-fn missing_entries_are_kept_for_a_moment_after_the_store_was_away() {
+fn missing_entries_are_retained_after_a_store_outage() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
     fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
-    let noted = show_list(&mut fleet, &[], 9, 1_000);
-    assert_eq!(noted.len(), 2);
+    let applied = apply_list(&mut fleet, &[], 9, 1_000);
+    assert_eq!(applied.len(), 2);
     assert_eq!(ids(&fleet), ["a", "b"]);
     // One entry is restored in time, the other server is removed.
-    show_changes(
+    apply_changes(
         &mut fleet,
         &[change(object("a", 11), false)],
         span(11),
         2_000,
     );
     assert!(fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS - 1)).is_empty());
-    let noted = fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS));
-    assert_eq!(noted, [FleetChange::Removed("b".to_owned())]);
+    let applied = fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS));
+    assert_eq!(applied, [FleetChange::Removed("b".to_owned())]);
     assert_eq!(ids(&fleet), ["a"]);
 }
 
 #[test]
-fn what_has_changed_is_told_with_the_servers_that_ended() {
+fn changes_include_removed_servers() {
     let mut fleet = Fleet::default();
     assert!(
         fleet.changes_since(0, Moment(10_000)).is_none(),
-        "nothing is known yet"
+        "no list was read yet"
     );
-    show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
     let changes = [change(object("b", 4), true), change(object("c", 8), false)];
-    show_changes(&mut fleet, &changes, span(8), 1);
+    apply_changes(&mut fleet, &changes, span(8), 1);
     assert!(
         fleet.changes_since(4, Moment(10_000)).is_none(),
-        "what ended before the first list is not known"
+        "removals before the first list are unknown"
     );
     let told = fleet.changes_since(5, Moment(10_000)).expect("it is known");
     let ids: Vec<_> = told
@@ -194,11 +194,11 @@
 }
 
 #[test]
-fn a_server_that_lapsed_and_came_back_is_not_told_as_gone() {
+fn an_expired_and_restored_server_is_not_reported_as_removed() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
     let changes = [change(object("a", 3), true), change(object("a", 9), false)];
-    show_changes(&mut fleet, &changes, span(9), 1);
+    apply_changes(&mut fleet, &changes, span(9), 1);
     assert_eq!(ids(&fleet), ["a", "b"]);
     let told = fleet.changes_since(5, Moment(10_000)).expect("it is known");
     assert!(told.gone.is_empty(), "{told:?}");
@@ -209,21 +209,21 @@
 }
 
 #[test]
-fn an_end_that_is_told_late_does_not_undo_a_return() {
+fn a_late_removal_does_not_undo_a_restored_entry() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3)], 5, 0);
     // The restored entry at 9 arrived from another source before the removal, which happened
     // somewhere up to 8.
-    show_changes(&mut fleet, &[change(object("a", 9), false)], span(9), 1);
-    show_changes(&mut fleet, &[change(object("a", 8), true)], span(8), 2);
+    apply_changes(&mut fleet, &[change(object("a", 9), false)], span(9), 1);
+    apply_changes(&mut fleet, &[change(object("a", 8), true)], span(8), 2);
     assert_eq!(ids(&fleet), ["a"]);
 }
 
 #[test]
-fn a_list_does_not_undo_what_was_seen_after_it() {
+fn an_older_list_does_not_undo_newer_changes() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3)], 5, 0);
-    let early = ChangeSpan {
+    apply_list(&mut fleet, &[object("a", 3)], 5, 0);
+    let later_change = ChangeSpan {
         until: 12,
         contiguous: false,
     };
@@ -237,58 +237,66 @@
             false,
         ),
     ];
-    show_changes(&mut fleet, &changes, early, 1);
-    show_list(&mut fleet, &[object("a", 3)], 10, 2);
+    apply_changes(&mut fleet, &changes, later_change, 1);
+    apply_list(&mut fleet, &[object("a", 3)], 10, 2);
     assert_eq!(ids(&fleet), ["a", "b"]);
     assert!(
         !fleet.of_service("desk")[0].takes_work(),
-        "it drains since 11"
+        "it has been draining since 11"
     );
 }
 
 #[test]
-fn ends_that_were_forgotten_are_not_told_as_if_there_were_none() {
+fn forgotten_removals_require_the_complete_list() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[], 1, 0);
+    apply_list(&mut fleet, &[], 1, 0);
     for revision in 2..2_000 {
         let id = format!("s-{revision}");
         let changes = [change(object(&id, revision), false)];
-        show_changes(&mut fleet, &changes, span(revision), 1);
+        apply_changes(&mut fleet, &changes, span(revision), 1);
         let changes = [change(object(&id, revision), true)];
-        show_changes(&mut fleet, &changes, span(revision), 1);
+        apply_changes(&mut fleet, &changes, span(revision), 1);
     }
     assert!(fleet.changes_since(1, Moment(10_000)).is_none());
     assert!(fleet.changes_since(1_990, Moment(10_000)).is_some());
 }
 
 #[test]
-fn a_server_that_may_have_lapsed_is_not_told_as_present() {
+fn a_retained_server_is_not_reported_as_present() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
     fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
-    show_changes(&mut fleet, &[change(object("a", 3), true)], span(9), 1_000);
-    assert_eq!(ids(&fleet), ["a", "b"], "it is kept here");
+    apply_changes(&mut fleet, &[change(object("a", 3), true)], span(9), 1_000);
+    assert_eq!(ids(&fleet), ["a", "b"], "it is retained here");
     let told: Vec<_> = fleet.objects().map(|object| object.record.id).collect();
-    assert_eq!(told, ["b"], "nobody else could see its time end");
+    assert_eq!(
+        told,
+        ["b"],
+        "other hosts could not detect the end of its retention"
+    );
     let told = fleet.changes_since(8, Moment(1_300)).expect("it is known");
     assert_eq!(told.gone, [gone("a", LAPSE_GRACE_MS - 300)]);
 }
 
 #[test]
-fn many_that_vanish_at_once_are_kept_for_a_moment_and_few_are_not() {
+fn many_servers_that_vanish_at_once_are_retained_and_few_are_not() {
     let servers: Vec<StoredObject> = (0..12).map(|n| object(&format!("s-{n:02}"), 3)).collect();
     let gone = |numbers: std::ops::Range<usize>| -> Vec<ObjectChange> {
         let gone = servers[numbers].iter().cloned();
         gone.map(|server| change(server, true)).collect()
     };
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &servers, 5, 0);
-    show_changes(&mut fleet, &gone(0..2), span(7), 1);
-    assert_eq!(ids(&fleet).len(), 10, "two may end at the same time");
-    show_changes(&mut fleet, &gone(2..5), span(10), 2);
-    assert_eq!(ids(&fleet).len(), 10, "three of ten have perhaps lapsed");
+    apply_list(&mut fleet, &servers, 5, 0);
+    apply_changes(&mut fleet, &gone(0..2), span(7), 1);
+    assert_eq!(ids(&fleet).len(), 10, "two may leave at the same time");
+    apply_changes(&mut fleet, &gone(2..5), span(10), 2);
+    assert_eq!(ids(&fleet).len(), 10, "three of ten may have expired");
     fleet.on_tick(Moment(2 + LAPSE_GRACE_MS));
-    assert_eq!(ids(&fleet).len(), 7, "and are gone when they stay away");
+    assert_eq!(
+        ids(&fleet).len(),
+        7,
+        "they are removed if they stay missing"
+    );
 }
 
 /// How long a leaving server continues to serve in the tests below, in milliseconds.
@@ -299,36 +307,36 @@
     let servers: Vec<StoredObject> = (0..12).map(|n| object(&format!("s-{n:02}"), 3)).collect();
     let mut fleet = Fleet::default();
     fleet.set_leave_ms(LEAVE_MS);
-    show_list(&mut fleet, &servers, 5, 0);
+    apply_list(&mut fleet, &servers, 5, 0);
     (fleet, servers)
 }
 
-fn ends(servers: &[StoredObject]) -> Vec<ObjectChange> {
-    let ends = servers.iter().cloned();
-    ends.map(|server| change(server, true)).collect()
+fn removals(servers: &[StoredObject]) -> Vec<ObjectChange> {
+    let removals = servers.iter().cloned();
+    removals.map(|server| change(server, true)).collect()
 }
 
 /// No outage of the store was detected, so the servers may also be leaving.
 #[test]
-fn a_group_that_vanishes_is_kept_for_less_than_a_leaving_server_serves() {
+fn a_vanished_group_is_retained_for_less_than_the_leave_time() {
     let (mut fleet, servers) = twelve_servers();
-    let changes = ends(&servers[..6]);
-    show_changes(&mut fleet, &changes, span(11), 100);
-    assert_eq!(ids(&fleet).len(), 12, "six have perhaps lapsed");
+    let changes = removals(&servers[..6]);
+    apply_changes(&mut fleet, &changes, span(11), 100);
+    assert_eq!(ids(&fleet).len(), 12, "six may have expired");
     fleet.on_tick(Moment(100 + LEAVE_MS - 300));
     assert_eq!(ids(&fleet).len(), 6, "they may have left");
 }
 
 #[test]
-fn what_goes_missing_after_the_stores_return_is_kept_for_less_than_a_leaving_server_serves() {
+fn entries_missing_after_a_store_outage_are_retained_for_less_than_the_leave_time() {
     let (mut fleet, servers) = twelve_servers();
     fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
     // This one went missing during the outage of the store.
-    show_changes(&mut fleet, &ends(&servers[..1]), span(9), 1_000);
-    show_changes(&mut fleet, &ends(&servers[1..2]), span(10), 1_100);
+    apply_changes(&mut fleet, &removals(&servers[..1]), span(9), 1_000);
+    apply_changes(&mut fleet, &removals(&servers[1..2]), span(10), 1_100);
     let gone = |now| {
-        let noted = fleet.on_tick(Moment(now));
-        noted.len()
+        let applied = fleet.on_tick(Moment(now));
+        applied.len()
     };
     let moments = [1_100, 1_100 + LEAVE_MS - 300, 1_000 + LAPSE_GRACE_MS];
     assert_eq!(moments.map(gone), [0, 1, 1]);
@@ -337,15 +345,15 @@
 /// The end of the outage was detected late, so servers missing from the first answer may have left
 /// since.
 #[test]
-fn a_return_that_is_noticed_late_keeps_only_what_goes_missing_after_it() {
+fn after_a_late_detected_outage_only_later_missing_entries_are_retained() {
     let (mut fleet, servers) = twelve_servers();
     fleet.on_store_return(ReturnSight::Late, 9, Moment(1_000));
-    let at_first = ends(&servers[..1]);
-    show_changes(&mut fleet, &at_first, span(9), 1_000);
+    let at_first = removals(&servers[..1]);
+    apply_changes(&mut fleet, &at_first, span(9), 1_000);
     assert_eq!(ids(&fleet).len(), 11, "it may have left long ago");
-    let later = ends(&servers[1..2]);
-    show_changes(&mut fleet, &later, span(10), 1_100);
-    assert_eq!(ids(&fleet).len(), 11, "it may have lapsed");
+    let later = removals(&servers[1..2]);
+    apply_changes(&mut fleet, &later, span(10), 1_100);
+    assert_eq!(ids(&fleet).len(), 11, "it may have expired");
     fleet.on_tick(Moment(1_100 + LEAVE_MS - 300));
     assert_eq!(ids(&fleet).len(), 10);
 }
@@ -353,46 +361,46 @@
 /// So many servers do not leave at the same time: their entries have expired, although the end of
 /// the outage was detected late.
 #[test]
-fn a_group_that_is_missing_at_a_late_noticed_return_is_kept_for_a_moment() {
+fn a_group_missing_after_a_late_detected_outage_is_retained() {
     let (mut fleet, servers) = twelve_servers();
     fleet.on_store_return(ReturnSight::Late, 9, Moment(1_000));
-    let at_first = ends(&servers[..6]);
-    show_changes(&mut fleet, &at_first, span(9), 1_000);
+    let at_first = removals(&servers[..6]);
+    apply_changes(&mut fleet, &at_first, span(9), 1_000);
     assert_eq!(ids(&fleet).len(), 12);
     fleet.on_tick(Moment(1_000 + LEAVE_MS - 300));
     assert_eq!(ids(&fleet).len(), 6);
 }
 
 #[test]
-fn a_host_keeps_servers_as_long_as_it_is_told_and_no_longer() {
+fn servers_are_retained_as_long_as_the_peer_reports() {
     let (mut fleet, servers) = twelve_servers();
     let told = ToldHolds::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
     fleet.on_changes(
-        &ends(&servers[..6]),
+        &removals(&servers[..6]),
         span(11),
         MissingSource::Peer(&told),
         &halls(),
         Moment(50),
     );
-    assert_eq!(ids(&fleet).len(), 7, "one of the six is kept");
+    assert_eq!(ids(&fleet).len(), 7, "one of the six is retained");
     assert_eq!(
         fleet.kept_ms("s-01", Moment(150)),
         300,
-        "as it is passed on"
+        "the time that is forwarded"
     );
     fleet.on_tick(Moment(450));
     assert_eq!(ids(&fleet).len(), 6);
 }
 
 #[test]
-fn failures_take_a_server_out_and_one_success_brings_it_back() {
+fn failures_eject_a_server_and_one_success_restores_it() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3)], 5, 0);
     let server = &fleet.of_service("desk")[0];
     for _ in 0..5 {
         assert!(
             !server.on_failure(Moment(0)),
-            "one that loses a part of its answers stays"
+            "a server that loses some answers is not ejected"
         );
     }
     assert!(server.on_failure(Moment(0)));
@@ -406,19 +414,22 @@
     server.end_request();
     assert!(
         server.on_failure(Moment(1_000)),
-        "on trial one failure is enough"
+        "one failure of a probe is enough"
+    );
+    assert!(
+        server.is_ejected(Moment(2_999)),
+        "the ejection time doubles"
     );
-    assert!(server.is_ejected(Moment(2_999)), "and the time doubles");
     server.on_success(Moment(0));
     assert!(!server.is_ejected(Moment(1_001)));
     assert!(
         server.on_unreachable(Moment(5_000)),
-        "no connection is enough at once"
+        "one failed connection is enough"
     );
     for _ in 0..5 {
         assert!(
             !server.on_failure(Moment(5_100)),
-            "what was under way tells nothing new"
+            "requests in flight at the ejection do not count"
         );
     }
     assert!(!server.is_ejected(Moment(6_000)));
@@ -427,9 +438,9 @@
 }
 
 #[test]
-fn the_load_of_others_fades_and_the_own_load_does_not() {
+fn the_load_of_other_hosts_decays_and_the_own_load_does_not() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3)], 5, 0);
     let server = &fleet.of_service("desk")[0];
     server.begin_request();
     let load = ServerLoad {
@@ -444,9 +455,9 @@
 }
 
 #[test]
-fn a_slow_servers_pace_fades_so_that_it_is_tried_again() {
+fn a_servers_slowdown_decays_so_that_it_is_tried_again() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 1)], 1, 0);
+    apply_list(&mut fleet, &[object("a", 1)], 1, 0);
     let server = &fleet.of_service("desk")[0];
     for _ in 0..5 {
         server.record_slowdown(20.0, Moment(0));
@@ -455,18 +466,21 @@
     assert!(slow > 8.0, "{slow}");
     assert!(
         server.slowdown(Moment(1_000)) > 4.0,
-        "it is not trusted at once"
+        "the slowdown does not decay at once"
     );
     let later = server.slowdown(Moment(20_000));
-    assert!(later < 1.2, "it gets work again without an answer: {later}");
+    assert!(
+        later < 1.2,
+        "it gets requests again without an answer: {later}"
+    );
 }
 
 #[test]
-fn a_cold_time_that_is_told_counts_from_when_it_is_heard() {
+fn a_reported_cold_time_starts_when_it_is_received() {
     let mut fleet = Fleet::default();
     let mut cold = object("a", 3);
     cold.content = ObjectContent::Server(record("a", ServerState::Ready, 2_000));
-    show_list(&mut fleet, &[cold], 5, 100);
+    apply_list(&mut fleet, &[cold], 5, 100);
     let server = &fleet.of_service("desk")[0];
     assert!(server.is_cold(Moment(2_099)));
     assert!(!server.is_cold(Moment(3_000)));
@@ -482,7 +496,7 @@
 
     /// For any number of hosts, all of them together stay below a cold server's limit.
     #[test]
-    fn hosts_keep_a_cold_servers_limit_without_talk(
+    fn hosts_respect_a_cold_servers_limit_without_coordination(
         hosts in 1_u32..300,
         limit in 4.0_f64..40.0,
         server in "[a-z0-9]{8}",
@@ -491,7 +505,7 @@
         for number in 0..hosts {
             // Each host has a fleet of its own and sends as fast as it may.
             let mut fleet = Fleet::default();
-            show_list(&mut fleet, &[object(&server, 1)], 1, 0);
+            apply_list(&mut fleet, &[object(&server, 1)], 1, 0);
             let server = &fleet.of_service("desk")[0];
             let hash = |number: u32| {
                 xxhash_rust::xxh3::xxh3_64(format!("host-{number}").as_bytes())
@@ -515,7 +529,7 @@
 
     /// No window has more retries than the share allows.
     #[test]
-    fn repeats_stay_within_the_share(
+    fn retries_stay_within_the_share(
         events in prop::collection::vec((0_u64..400, any::<bool>()), 1..400),
         hosts in 1_u32..20,
     ) {
@@ -523,20 +537,20 @@
         let mut window = RetryWindow::with_length(10_000);
         let mut now = 0;
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
-        for (pause, repeat) in events {
+        let mut retries = Vec::new();
+        for (pause, is_retry) in events {
             now += pause;
-            if !repeat {
+            if !is_retry {
                 window.on_request(Moment(now));
                 requests.push(now);
             } else if window.try_retry(&share, Moment(now)) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let inside = |at: &&u64| **at <= *end && **at + 10_000 > *end;
             let near = |at: &&u64| **at <= *end && **at + 20_000 > *end;
-            let sent = repeats.iter().filter(inside).count() as f64;
+            let sent = retries.iter().filter(inside).count() as f64;
             let asked = requests.iter().filter(near).count() as f64;
             prop_assert!(sent <= asked * 0.2 + 58.0 / f64::from(hosts));
         }
@@ -546,38 +560,38 @@
 /// The report of a removal may overtake that of the preceding change, while others in between are
 /// missing.
 #[test]
-fn a_late_entry_does_not_bring_an_ended_server_back() {
+fn a_late_entry_does_not_restore_a_removed_server() {
     let mut fleet = Fleet::default();
-    show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
+    apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
     let gap = |until| ChangeSpan {
         until,
         contiguous: false,
     };
     let end = change(object("a", 12), true);
-    show_changes(&mut fleet, &[end], gap(12), 1);
+    apply_changes(&mut fleet, &[end], gap(12), 1);
     assert_eq!(ids(&fleet), ["b"]);
     let late = change(object("a", 9), false);
-    show_changes(&mut fleet, &[late], gap(9), 2);
-    assert_eq!(ids(&fleet), ["b"], "it ended after that entry");
+    apply_changes(&mut fleet, &[late], gap(9), 2);
+    assert_eq!(ids(&fleet), ["b"], "it was removed after that entry");
     let back = change(object("a", 14), false);
-    show_changes(&mut fleet, &[back], gap(14), 3);
-    assert_eq!(ids(&fleet), ["a", "b"], "a later entry counts");
+    apply_changes(&mut fleet, &[back], gap(14), 3);
+    assert_eq!(ids(&fleet), ["a", "b"], "a later entry applies");
 }
 
 /// If more servers were removed before the first list than are remembered, hosts that request
 /// earlier changes must read the complete list.
 #[test]
-fn the_first_list_does_not_forget_that_ends_were_forgotten() {
+fn the_first_list_keeps_the_record_of_forgotten_removals() {
     let mut fleet = Fleet::default();
     for number in 0..1_100_u64 {
         let id = format!("s-{number}");
         let born = change(object(&id, 2 * number + 10), false);
         let gone = change(object(&id, 2 * number + 11), true);
         let now = Moment(number);
-        show_changes(&mut fleet, &[born, gone], span(2 * number + 11), now.0);
+        apply_changes(&mut fleet, &[born, gone], span(2 * number + 11), now.0);
     }
     // The first 76 removals are forgotten, the last of them at revision 161; the list is older.
-    show_list(&mut fleet, &[object("z", 5)], 100, 9_000);
+    apply_list(&mut fleet, &[object("z", 5)], 100, 9_000);
     assert!(fleet.changes_since(120, Moment(10_000)).is_none());
     assert!(fleet.changes_since(2_300, Moment(10_000)).is_some());
 }
--- a/tests/entry_fleet_size.rs
+++ b/tests/entry_fleet_size.rs
@@ -58,16 +58,16 @@
 }
 
 #[test]
-fn changes_of_servers_do_not_touch_those_that_have_not_changed() {
+fn a_change_indexes_only_the_changed_server() {
     const CHANGES: usize = 50;
     for count in [100, 1_000, 10_000] {
         let mut fleet = fleet_of(count);
         let before = fleet.servers_indexed();
         for number in 0..CHANGES {
             let revision = 2 + number as u64;
-            let is_end = number % 2 == 0;
-            let changed = if is_end { number } else { count + number };
-            apply(&mut fleet, object(changed, 1, revision), is_end);
+            let is_removal = number % 2 == 0;
+            let changed = if is_removal { number } else { count + number };
+            apply(&mut fleet, object(changed, 1, revision), is_removal);
         }
         let indexed = fleet.servers_indexed() - before;
         assert_eq!(indexed, CHANGES as u64 / 2, "{count} servers");
@@ -77,7 +77,7 @@
 /// A host knows every server of the deployment. With 20,000 servers, half a kilobyte each would be
 /// a twelfth of the memory that it may use.
 #[test]
-fn a_server_that_got_no_request_takes_a_quarter_of_a_kilobyte_and_shares_its_names() {
+fn an_unused_server_takes_a_quarter_of_a_kilobyte_and_shares_its_names() {
     assert!(size_of::<FleetServer>() <= 256);
     let fleet = fleet_of(100);
     let mut names = fleet.servers().map(|server| Rc::as_ptr(&server.hall));
@@ -86,31 +86,31 @@
 }
 
 #[test]
-fn the_loss_of_a_third_of_all_servers_is_told_without_the_whole_list() {
+fn the_loss_of_a_third_of_all_servers_is_reported_without_the_complete_list() {
     for count in [300, 3_000, 9_000] {
         let mut fleet = fleet_of(count);
         for number in 0..count / 3 {
             apply(&mut fleet, object(number, 1, 2 + number as u64), true);
         }
-        let told = fleet.changes_since(1, Moment(2)).expect("it is remembered");
-        assert_eq!(told.gone.len(), count / 3, "{count} servers");
-        assert!(told.changed.is_empty(), "{count} servers");
+        let difference = fleet.changes_since(1, Moment(2)).expect("it is remembered");
+        assert_eq!(difference.gone.len(), count / 3, "{count} servers");
+        assert!(difference.changed.is_empty(), "{count} servers");
     }
 }
 
 #[test]
-fn servers_are_found_alike_after_any_changes_and_after_a_list() {
+fn index_is_the_same_after_changes_and_after_a_list() {
     let mut random = SmallRng::seed_from_u64(11);
     for _ in 0..20 {
         let mut fleet = fleet_of(40);
         let mut known: BTreeMap<usize, u64> = (0..40).map(|number| (number, 1)).collect();
         for revision in 2..200 {
             let number = random.random_range(0..60);
-            let is_end = random.random_bool(0.4) && known.contains_key(&number);
+            let is_removal = random.random_bool(0.4) && known.contains_key(&number);
             // Some servers restart under their identity.
             let born = revision;
-            apply(&mut fleet, object(number, born, revision), is_end);
-            if is_end {
+            apply(&mut fleet, object(number, born, revision), is_removal);
+            if is_removal {
                 known.remove(&number);
             } else {
                 known.insert(number, born);
@@ -120,18 +120,18 @@
             .iter()
             .map(|(number, born)| object(*number, *born, 1))
             .collect();
-        let mut plain = Fleet::default();
-        plain.on_list(&objects, 1, MissingSource::Store, &halls(), Moment(0));
+        let mut reference = Fleet::default();
+        reference.on_list(&objects, 1, MissingSource::Store, &halls(), Moment(0));
         for service in SERVICES {
             let incarnations = |fleet: &Fleet| -> Vec<u64> {
                 let servers = fleet.of_service(service).iter();
                 servers.map(|server| server.incarnation_hash).collect()
             };
-            assert_eq!(incarnations(&fleet), incarnations(&plain), "{service}");
-            for incarnation in incarnations(&plain) {
+            assert_eq!(incarnations(&fleet), incarnations(&reference), "{service}");
+            for incarnation in incarnations(&reference) {
                 let found = fleet
                     .of_incarnation(incarnation)
-                    .expect("it is found by its start");
+                    .expect("it is found by its incarnation");
                 assert_eq!(found.incarnation_hash, incarnation);
             }
         }
--- a/tests/entry_route_times.rs
+++ b/tests/entry_route_times.rs
@@ -27,13 +27,13 @@
 /// The average of these times would be 420 ms, above the goal of many routes. Hosts would then
 /// refuse requests that idle servers would answer in time.
 #[test]
-fn answers_that_waited_do_not_hide_how_long_the_work_takes() {
+fn delayed_answers_do_not_raise_the_typical_time() {
     let typical_ms = typical_after(500, 0.4);
     assert!((80.0..150.0).contains(&typical_ms), "{typical_ms}");
 }
 
 #[test]
-fn when_most_answers_take_longer_the_usual_time_follows() {
+fn the_typical_time_follows_when_most_answers_take_longer() {
     let typical_ms = typical_after(500, 1.0);
     assert!((800.0..1_000.0).contains(&typical_ms), "{typical_ms}");
 }
