--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -257,10 +257,8 @@
             }
             OfferEnd::TimedOut => return Err(self.on_timeout(&server, began, object_cached)),
             OfferEnd::NotSent => self.on_not_sent(&server),
-            OfferEnd::Withheld(cause) => self.log_failed_attempt(&server, cause.as_str()),
-            OfferEnd::OutOfTime => {
-                self.log_failed_attempt(&server, "out of time before it was sent")
-            }
+            OfferEnd::Withheld(cause) => self.log_failure(&server, cause.as_str()),
+            OfferEnd::OutOfTime => self.log_failure(&server, "out of time before it was sent"),
             OfferEnd::NotRun { status, had_room } => self.on_not_run(&server, status, had_room),
             OfferEnd::OtherServer => self.on_other_server(&server),
             OfferEnd::Lost(cause) => self.on_lost(&server, cause)?,
--- a/src/entry/attempts/outcome.rs
+++ b/src/entry/attempts/outcome.rs
@@ -64,7 +64,7 @@
         began: Moment,
         object_cached: bool,
     ) -> RequestFailure {
-        self.log_failed_attempt(server, "timed out");
+        self.log_failure(server, "timed out");
         let now = self.host.now();
         let typical_ms = if object_cached {
             self.typical_ms()
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn on_not_sent(&self, server: &FleetServer) {
-        self.log_failed_attempt(server, "not reached");
+        self.log_failure(server, "not reached");
         self.host.on_server_unreachable(server);
     }
 
@@ -100,7 +100,7 @@
         had_room: bool,
     ) {
         self.host.metrics.borrow_mut().shed += 1;
-        self.log_failed_attempt(server, status.as_str());
+        self.log_failure(server, status.as_str());
         if !had_room {
             self.record_sent(self.not_run());
             return;
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn on_other_server(&mut self, server: &FleetServer) {
-        self.log_failed_attempt(server, "another server has the address");
+        self.log_failure(server, "another server has the address");
         server.on_address_reused();
         self.record_sent(self.not_run());
     }
@@ -124,7 +124,7 @@
         server: &rc::Rc<FleetServer>,
         cause: LossCause,
     ) -> Result<(), RequestFailure> {
-        self.log_failed_attempt(server, cause.as_str());
+        self.log_failure(server, cause.as_str());
         self.host.on_server_failure(server);
         if cause.has_broken() {
             quarantine_role::on_broken(self.host, server, self.open.fingerprint());
@@ -156,7 +156,7 @@
         self.host.cache_miss_ms(&route.name, route.goal_ms)
     }
 
-    pub(super) fn log_failed_attempt(&self, server: &FleetServer, result: &str) {
+    pub(super) fn log_failure(&self, server: &FleetServer, result: &str) {
         let host = self.host;
         let open = self.open;
         host.metrics.borrow_mut().on_offer_failed(result);
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -170,8 +170,8 @@
 
     /// The store is available again after an outage, first with its revision `revision`: entries
     /// that are missing from now on may only have expired.
-    pub fn on_store_return(&mut self, sight: ReturnSight, revision: u64, now: Moment) {
-        self.retention.on_store_return(sight, revision, now);
+    pub fn on_store_return(&mut self, observation: ReturnSight, revision: u64, now: Moment) {
+        self.retention.on_store_return(observation, revision, now);
     }
 
     /// Applies a complete list.
@@ -218,8 +218,8 @@
     ) {
         match source {
             MissingSource::Store => self.retain_if_many(vanished, now),
-            MissingSource::Peer(told) => {
-                if let Some(until) = told.longest() {
+            MissingSource::Peer(retentions) => {
+                if let Some(until) = retentions.longest() {
                     self.retention.on_told(until);
                 }
             }
@@ -364,7 +364,7 @@
         let server = rc::Rc::clone(self.server(id)?);
         let retained = match source {
             MissingSource::Store => self.retention.server_hold(by, now),
-            MissingSource::Peer(told) => told.server_hold(id),
+            MissingSource::Peer(retentions) => retentions.server_hold(id),
         };
         let Some(retained) = retained else {
             return self.remove_now(id, by, RemovalKind::Deleted, now);
--- a/src/entry/fleet_apply.rs
+++ b/src/entry/fleet_apply.rs
@@ -51,11 +51,11 @@
         now: Moment,
     ) -> Option<FleetChange> {
         let known = self.entries.get(&*record.id);
-        let restarted =
+        let is_restarted =
             known.is_some_and(|known| server::start_order(record.born, known.stored.born).is_gt());
-        let may_be_stale = !restarted && self.may_be_stale(object, record);
+        let may_be_stale = !is_restarted && self.may_be_stale(object, record);
         let ejected_until = may_be_stale.then(|| now.plus(store_era::SETTLE_MS));
-        if !restarted && let Some(entry) = self.entries.get_mut(&*record.id) {
+        if !is_restarted && let Some(entry) = self.entries.get_mut(&*record.id) {
             entry.revision = object.revision;
             let change = entry.update(record, now);
             if let Some(until) = ejected_until {
--- a/src/entry/removed_servers.rs
+++ b/src/entry/removed_servers.rs
@@ -58,13 +58,13 @@
         self.complete_since = self.complete_since.max(revision);
     }
 
-    /// A server was removed up to the store revision `removed_by`; `fleet` servers are left.
+    /// A server was removed up to the store revision `removed_by`; `fleet_size` servers are left.
     pub(super) fn on_removed(
         &mut self,
         incarnation: ServerIncarnation<'_>,
         removed_by: u64,
         kind: RemovalKind,
-        fleet: usize,
+        fleet_size: usize,
     ) {
         let number = self.forgotten + self.servers.len();
         self.last_numbers
@@ -75,7 +75,7 @@
             removed_by,
             kind,
         });
-        while self.servers.len() > fleet.max(MIN_REMOVED_SERVERS) {
+        while self.servers.len() > fleet_size.max(MIN_REMOVED_SERVERS) {
             self.forget_oldest();
         }
     }
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -301,7 +301,7 @@
     let none = BTreeSet::new();
     let weights =
         RegionWeights::for_region("one", &[capacity("one", 3, 36), capacity("two", 3, 36)]);
-    let mut elsewhere = 0;
+    let mut remote_objects = 0;
     for object in 0..200 {
         let input = QueryInput {
             latencies: &RegionLatencies::default(),
@@ -316,10 +316,10 @@
         let ranked = choice::rank_by_object(&query(&input), object);
         let regions: Vec<&str> = ranked.iter().map(|server| &*server.region).collect();
         // The other region has the minimum weight of 0.02.
-        elsewhere += usize::from(regions[0] != "one");
+        remote_objects += usize::from(regions[0] != "one");
         assert_eq!(ranked.len(), HOME_CANDIDATES + GLOBAL_CANDIDATES);
     }
-    assert!(elsewhere <= 10, "{elsewhere} of 200");
+    assert!(remote_objects <= 10, "{remote_objects} of 200");
 }
 
 #[test]
@@ -441,12 +441,12 @@
     /// An object moves only if its own server leaves, and then to the next server in rank.
     #[test]
     fn a_change_of_other_servers_moves_no_object(object in any::<u64>(), leaving_server in 0_usize..24) {
-        let whole = fleet(24);
+        let all_servers = fleet(24);
         let none = BTreeSet::new();
         let input = QueryInput {
             latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
-            fleet: &whole,
+            fleet: &all_servers,
             object: Some(object),
             homes: &[],
             evacuated: &none,
@@ -471,14 +471,14 @@
         tried in 0_usize..120,
         hosts in (0_u32..9, 0_u32..9),
     ) {
-        let whole = fleet_with_slots(&slots);
+        let all_servers = fleet_with_slots(&slots);
         let weights = RegionWeights::for_region("one", &[capacity("one", hosts.0, 30), capacity("two", hosts.1, 60)]);
         let evacuated: BTreeSet<String> = evacuate.then(|| "west".to_owned()).into_iter().collect();
         let tried = [format!("i-{tried:03}")];
         let input = QueryInput {
             latencies: &RegionLatencies::default(),
             weights: &weights,
-            fleet: &whole,
+            fleet: &all_servers,
             object: Some(object),
             homes: &[],
             evacuated: &evacuated,
@@ -523,14 +523,14 @@
     /// turn must give every server exactly once, as sorting by rank does.
     #[test]
     fn excluding_tried_servers_selects_each_server_once(object in any::<u64>()) {
-        let whole = fleet(9);
+        let all_servers = fleet(9);
         let none = BTreeSet::new();
         let mut tried: Vec<String> = Vec::new();
         for _ in 0..9 {
             let input = QueryInput {
                 latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
-            fleet: &whole,
+            fleet: &all_servers,
                 object: Some(object),
                 homes: &[],
                 evacuated: &none,
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -182,13 +182,13 @@
         fleet.changes_since(4, Moment(10_000)).is_none(),
         "removals before the first list are unknown"
     );
-    let told = fleet.changes_since(5, Moment(10_000)).expect("it is known");
-    let ids: Vec<_> = told
+    let reported = fleet.changes_since(5, Moment(10_000)).expect("it is known");
+    let ids: Vec<_> = reported
         .changed
         .iter()
         .map(|object| object.record.id.as_str())
         .collect();
-    assert_eq!((ids, told.gone), (vec!["c"], vec![gone("b", 0)]));
+    assert_eq!((ids, reported.gone), (vec!["c"], vec![gone("b", 0)]));
     let nothing = fleet.changes_since(8, Moment(10_000)).expect("it is known");
     assert!(nothing.changed.is_empty() && nothing.gone.is_empty());
 }
@@ -200,9 +200,9 @@
     let changes = [change(object("a", 3), true), change(object("a", 9), false)];
     apply_changes(&mut fleet, &changes, span(9), 1);
     assert_eq!(ids(&fleet), ["a", "b"]);
-    let told = fleet.changes_since(5, Moment(10_000)).expect("it is known");
-    assert!(told.gone.is_empty(), "{told:?}");
-    assert_eq!(told.changed.len(), 1);
+    let reported = fleet.changes_since(5, Moment(10_000)).expect("it is known");
+    assert!(reported.gone.is_empty(), "{reported:?}");
+    assert_eq!(reported.changed.len(), 1);
     let parts = news_part::parts_of(&changes);
     assert_eq!((parts.len(), parts[0].changed.len()), (1, 1));
     assert!(parts[0].gone.is_empty(), "its last change counts");
@@ -268,14 +268,14 @@
     fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
     apply_changes(&mut fleet, &[change(object("a", 3), true)], span(9), 1_000);
     assert_eq!(ids(&fleet), ["a", "b"], "it is retained here");
-    let told: Vec<_> = fleet.objects().map(|object| object.record.id).collect();
+    let reported: Vec<_> = fleet.objects().map(|object| object.record.id).collect();
     assert_eq!(
-        told,
+        reported,
         ["b"],
         "other hosts could not detect the end of its retention"
     );
-    let told = fleet.changes_since(8, Moment(1_300)).expect("it is known");
-    assert_eq!(told.gone, [gone("a", LAPSE_GRACE_MS - 300)]);
+    let reported = fleet.changes_since(8, Moment(1_300)).expect("it is known");
+    assert_eq!(reported.gone, [gone("a", LAPSE_GRACE_MS - 300)]);
 }
 
 #[test]
@@ -374,11 +374,11 @@
 #[test]
 fn servers_are_retained_as_long_as_the_peer_reports() {
     let (mut fleet, servers) = twelve_servers();
-    let told = ToldHolds::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
+    let reported = ToldHolds::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
     fleet.on_changes(
         &removals(&servers[..6]),
         span(11),
-        MissingSource::Peer(&told),
+        MissingSource::Peer(&reported),
         &halls(),
         Moment(50),
     );
@@ -548,10 +548,10 @@
             }
         }
         for end in &retries {
-            let inside = |at: &&u64| **at <= *end && **at + 10_000 > *end;
-            let near = |at: &&u64| **at <= *end && **at + 20_000 > *end;
-            let sent = retries.iter().filter(inside).count() as f64;
-            let asked = requests.iter().filter(near).count() as f64;
+            let is_inside = |at: &&u64| **at <= *end && **at + 10_000 > *end;
+            let is_recent = |at: &&u64| **at <= *end && **at + 20_000 > *end;
+            let sent = retries.iter().filter(is_inside).count() as f64;
+            let asked = requests.iter().filter(is_recent).count() as f64;
             prop_assert!(sent <= asked * 0.2 + 58.0 / f64::from(hosts));
         }
     }
