--- a/src/entry/attempts/mod.rs
+++ b/src/entry/attempts/mod.rs
@@ -19,8 +19,8 @@
 use crate::rollout::plan::VersionRule;
 use crate::timer::Moment;
 
-/// Maximum number of servers that are tried for a request, including those to which no connection
-/// could be established.
+/// Maximum number of attempts to send a request, including those for which no connection could be
+/// established.
 const MAX_ATTEMPTS: u32 = 4;
 /// A request with less time left than this, in milliseconds, is not sent, because its answer would
 /// be late.
@@ -141,10 +141,8 @@
     fn choose(&self) -> Result<ChosenServer, RequestFailure> {
         let now = self.host.now();
         let open = self.open;
-        let is_repeat = self.sent > 0;
-        let versions = self
-            .host
-            .version_rule(&open.service, open.object, is_repeat);
+        let is_retry = self.sent > 0;
+        let versions = self.host.version_rule(&open.service, open.object, is_retry);
         let mut choice = self.choose_among(versions, now);
         if let (ServerChoice::Refuse { .. }, VersionRule::Only(version)) = (&choice, versions) {
             // The new version has no free capacity yet, or no server any more.
--- a/src/entry/choice_refusal.rs
+++ b/src/entry/choice_refusal.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Refuses a request that no server takes before `available_at`. The retry-after times are spread, so that
-/// callers refused together do not retry together.
+/// Refuses a request that no server takes before `available_at`. The retry-after times are spread,
+/// so that callers refused together do not retry together.
 pub(super) fn refuse_until(
     query: &ChoiceQuery<'_>,
     available_at: Moment,
--- a/src/entry/evacuation.rs
+++ b/src/entry/evacuation.rs
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Marks the servers of a hall as cold after its evacuation. They may have become cold without requests, and their
-    /// reports of it may not have arrived yet.
+    /// Marks the servers of a hall as cold after its evacuation. They may have become cold without
+    /// requests, and their reports of it may not have arrived yet.
     fn on_evacuation_end(&self, hall: &str) {
         self.note(EventCode::HallTakenBack, json!({ "hall": hall }));
         let Some(routes) = self.routes() else { return };
--- a/src/entry/fleet_change.rs
+++ b/src/entry/fleet_change.rs
@@ -7,8 +7,8 @@
 pub enum FleetChange {
     /// A new server.
     Joined(String),
-    /// The server has restarted under the same identity; what was known of its previous incarnation is
-    /// dropped.
+    /// The server has restarted under the same identity; what was known of its previous incarnation
+    /// is dropped.
     Restarted(String),
     /// The server takes no new requests.
     Draining(String),
--- a/src/entry/fleet_server.rs
+++ b/src/entry/fleet_server.rs
@@ -82,8 +82,8 @@
     pub slots: u32,
     /// Hash of the identity, for ranking.
     pub hash: u64,
-    /// Hash of identity and start time, so that information about an earlier incarnation is not applied to
-    /// this one.
+    /// Hash of identity and start time, so that information about an earlier incarnation is not
+    /// applied to this one.
     pub incarnation_hash: u64,
     view: cell::RefCell<ServerView>,
 }
@@ -181,7 +181,8 @@
         });
     }
 
-    /// Whether this host recently sent requests for `object` to the server.
+    /// Whether this host recently sent requests for `object` to the server, which then probably has
+    /// it cached.
     #[must_use]
     pub fn has_object_cached(&self, object: u64) -> bool {
         let view = self.view.borrow();
@@ -195,8 +196,8 @@
         let mut view = self.view.borrow_mut();
         let view = view.observed_mut();
         let known = view.objects.iter().rposition(|known| *known == object);
-        if let Some(place) = known {
-            view.objects.remove(place);
+        if let Some(index) = known {
+            view.objects.remove(index);
         }
         view.objects.push_back(object);
         if view.objects.len() > MAX_CACHED_OBJECTS {
@@ -205,9 +206,9 @@
         known.is_some()
     }
 
-    /// Records the time of an answer as a multiple of the typical time. Of two consecutive
-    /// answers the faster counts: a slow server is slow twice in a row, while a single long answer
-    /// may have waited or was a cache miss.
+    /// Records the time of an answer as a multiple of the typical time. Of two consecutive answers
+    /// the faster counts: a slow server is slow twice in a row, while a single long answer may have
+    /// waited or was a cache miss.
     pub fn record_slowdown(&self, factor: f64, now: Moment) {
         let mut view = self.view.borrow_mut();
         let view = view.observed_mut();
@@ -220,7 +221,7 @@
         });
     }
 
-    /// Records an answer, which ends an ejection.
+    /// Records an answer, which ends an ejection and resets the failure counts.
     pub fn on_success(&self, now: Moment) {
         let mut view = self.view.borrow_mut();
         let view = view.observed_mut();
--- a/src/entry/removed_servers.rs
+++ b/src/entry/removed_servers.rs
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Whether the entry of this incarnation of a  server was removed in an epoch before that of
+    /// Whether the entry of this incarnation of a server was removed in an epoch before that of
     /// `position`. If the entry is present again, the store was restored from an older copy, or the
     /// server is alive and has written it again.
     pub(super) fn removed_in_earlier_epoch(
