--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -11,8 +11,8 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_distance::RegionDistances;
-use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
+use ledgespool::entry::region_latency::RegionLatencies;
+use ledgespool::entry::region_weights::{RegionCapacity, RegionWeights};
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
 use ledgespool::entry::settings::HallMap;
@@ -41,17 +41,17 @@
 fn measure(servers: usize, objects: Option<u64>) -> f64 {
     let fleet = fleet(servers);
     let evacuated = BTreeSet::new();
-    let distances = RegionDistances::default();
-    let rooms = [10, 40, 50]
+    let latencies = RegionLatencies::default();
+    let capacities = [10, 40, 50]
         .into_iter()
         .enumerate()
-        .map(|(number, slots)| RegionRoom {
+        .map(|(number, slots)| RegionCapacity {
             region: format!("region-{number}"),
             hosts: 4,
             slots,
         });
-    let rooms: Vec<RegionRoom> = rooms.collect();
-    let weights = RegionWeights::for_region("region-0", &rooms);
+    let capacities: Vec<RegionCapacity> = capacities.collect();
+    let weights = RegionWeights::for_region("region-0", &capacities);
     let limits = ServerLimitTable::default();
     let mut random = SmallRng::seed_from_u64(7);
     let start = Instant::now();
@@ -60,18 +60,18 @@
             servers: fleet.of_service("desk"),
             object: objects.map(|objects| hash::mix(number % objects)),
             region: "region-0",
-            distances: &distances,
+            latencies: &latencies,
             weights: &weights,
             homes: &[],
             evacuated: &evacuated,
             versions: VersionRule::Any,
             tried: &[],
-            near: false,
-            usual_ms: 150.0,
-            first_ms: 450.0,
-            patience_ms: 400.0,
+            prefer_local: false,
+            typical_ms: 150.0,
+            cache_miss_ms: 450.0,
+            goal_left_ms: 400.0,
             cold_share: ColdShare {
-                all_per_s: 20.0,
+                total_per_s: 20.0,
                 hosts: 80,
                 own_hash: 1,
                 other_hashes: None,
--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -14,8 +14,8 @@
 use ledgespool::entry::packed_servers::PackedServers;
 use ledgespool::entry::peer_message::{PackedSnapshot, PeerSnapshot, WatchState};
 use ledgespool::entry::peers::PeerTable;
-use ledgespool::entry::region_distance::RegionDistances;
-use ledgespool::entry::region_shares::RegionWeights;
+use ledgespool::entry::region_latency::RegionLatencies;
+use ledgespool::entry::region_weights::RegionWeights;
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
 use ledgespool::entry::settings::HallMap;
@@ -139,7 +139,7 @@
 
 fn measure_choice(fleet: &Fleet) -> f64 {
     let evacuated = BTreeSet::new();
-    let distances = RegionDistances::default();
+    let latencies = RegionLatencies::default();
     let weights = RegionWeights::default();
     let limits = ServerLimitTable::default();
     let mut random = SmallRng::seed_from_u64(7);
@@ -148,18 +148,18 @@
             servers: fleet.of_service("service-0"),
             object: Some(number),
             region: "region-0",
-            distances: &distances,
+            latencies: &latencies,
             weights: &weights,
             homes: &[],
             evacuated: &evacuated,
             versions: VersionRule::Any,
             tried: &[],
-            near: false,
-            usual_ms: 600.0,
-            first_ms: 1_900.0,
-            patience_ms: 1_200.0,
+            prefer_local: false,
+            typical_ms: 600.0,
+            cache_miss_ms: 1_900.0,
+            goal_left_ms: 1_200.0,
             cold_share: ColdShare {
-                all_per_s: 20.0,
+                total_per_s: 20.0,
                 hosts: 986,
                 own_hash: 1,
                 other_hashes: None,
--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -77,7 +77,7 @@
         }
         let now = self.now();
         if let Some(load) = claims.head.load {
-            server.on_load(load, now);
+            server.on_load_report(load, now);
         }
         if let Some(cold) = claims.head.cold {
             server.set_cold_until(now.plus(cold.as_millis() as u64));
@@ -85,7 +85,7 @@
         self.on_limit_claim(server, claims);
         self.on_leaving_claim(server, claims);
         self.on_backoff_claim(server, claims.backoff());
-        if server.is_gone() {
+        if server.is_removed() {
             self.fleet.borrow_mut().on_late_notice(server, now);
         }
     }
@@ -112,7 +112,7 @@
                 // that carries it. Other hosts get verified claims only.
                 self.on_server_leaving(server, "answer");
                 if claims.trust == AnswerTrust::Verified && !server.is_draining() {
-                    self.leaving_updates.push(server.start_hash);
+                    self.leaving_updates.push(server.incarnation_hash);
                 }
             }
         }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -119,7 +119,7 @@
     /// Counts a new request at `server`.
     #[must_use]
     pub fn at(server: &rc::Rc<FleetServer>) -> Self {
-        server.begin();
+        server.begin_request();
         Self {
             server: rc::Rc::clone(server),
         }
@@ -128,7 +128,7 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.server.end();
+        self.server.end_request();
     }
 }
 
@@ -176,7 +176,7 @@
 ) -> Result<ServerSender, AttemptOutcome> {
     let began = host.now();
     let left = time::Duration::from_millis(deadline.since(began));
-    let limit = host.distances.borrow().connect_limit(&server.region);
+    let limit = host.latencies.borrow().connect_timeout(&server.region);
     host.metrics.borrow_mut().connections += 1;
     let Ok(sender) = pool::connect(server, limit.min(left)).await else {
         host.metrics.borrow_mut().connect_failures += 1;
@@ -187,8 +187,8 @@
         });
     };
     let took = time::Duration::from_millis(host.now().since(began));
-    let mut distances = host.distances.borrow_mut();
-    distances.on_connected(&server.region, took);
+    let mut latencies = host.latencies.borrow_mut();
+    latencies.on_connected(&server.region, took);
     Ok(sender)
 }
 
@@ -219,7 +219,10 @@
     };
     let time_left = time::Duration::from_millis(options.deadline.since(host.now()));
     let message = build_message(host, server, request, time_left);
-    let sent_in = host.server_limits.table().period_of(server.start_hash);
+    let sent_in = host
+        .server_limits
+        .table()
+        .period_of(server.incarnation_hash);
     let (head, body) = match permit.write(&mut sender, message).await {
         Ok(answer) => answer.into_parts(),
         Err(mut fault) => {
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -1,7 +1,7 @@
 //! The state of one entry host, shared by the tasks of its single thread.
 //!
 //! Methods that concern one part of the state are in the module of that part:
-//! [`super::evacuation`], [`super::route_times`], [`super::region_shares`], [`super::host_fleet`],
+//! [`super::evacuation`], [`super::route_times`], [`super::region_weights`], [`super::host_fleet`],
 //! [`super::host_budget`], [`super::stop`], [`super::watch_role`] and [`super::self_report`].
 //! [`super::lifecycle`] starts and stops the host.
 
@@ -29,8 +29,8 @@
 use super::peers::PeerTable;
 use super::pool::ServerPool;
 use super::quarantine_role::QuarantineRole;
-use super::region_distance::RegionDistances;
-use super::region_shares::WeightCache;
+use super::region_latency::RegionLatencies;
+use super::region_weights::WeightCache;
 use super::rollout_role::RolloutRole;
 use super::route_times::RouteTimeTable;
 use super::server_limit_role::ServerLimitRole;
@@ -60,7 +60,7 @@
     /// Idle connections to servers.
     pub pool: cell::RefCell<ServerPool>,
     /// Distances between regions.
-    pub distances: cell::RefCell<RegionDistances>,
+    pub latencies: cell::RefCell<RegionLatencies>,
     /// Other entry hosts.
     pub peers: cell::RefCell<PeerTable>,
     /// Socket for datagrams to other hosts.
@@ -117,7 +117,7 @@
             metrics: cell::RefCell::default(),
             fleet: cell::RefCell::new(fleet),
             pool: cell::RefCell::default(),
-            distances: cell::RefCell::default(),
+            latencies: cell::RefCell::default(),
             peers: cell::RefCell::new(peers),
             socket: PeerSocket::default(),
             fetches: OpenFetches::default(),
@@ -281,9 +281,9 @@
         self.log_stall(now);
         self.look_at_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
-        self.note_fleet(&changes, "timer");
+        self.log_fleet_changes(&changes, "timer");
         let fleet = self.fleet.borrow();
-        let is_gone = |id: &str| !fleet.knows(id);
+        let is_gone = |id: &str| !fleet.contains(id);
         self.pool.borrow_mut().on_tick(is_gone, now);
         self.forget_written_snapshot();
         self.look_for_all_hosts(now);
--- a/src/entry/leaving_updates.rs
+++ b/src/entry/leaving_updates.rs
@@ -69,13 +69,13 @@
 impl<W: WireProtocol> EntryHost<W> {
     /// Handles a report of another host about leaving servers.
     pub(super) fn on_leaving_report(&self, servers: &[u64], source: &str) {
-        for start_hash in servers {
-            let server = self.fleet.borrow().of_start(*start_hash);
+        for incarnation_hash in servers {
+            let server = self.fleet.borrow().of_incarnation(*incarnation_hash);
             let Some(server) = server.filter(|server| !server.is_draining()) else {
                 continue;
             };
             self.on_server_leaving(&server, source);
-            self.leaving_updates.push(*start_hash);
+            self.leaving_updates.push(*incarnation_hash);
         }
     }
 
@@ -83,7 +83,7 @@
     pub(super) fn on_leaving_tick(&self) {
         let fleet = self.fleet.borrow();
         let is_unknown_to_store = |server| {
-            let server = fleet.of_start(server);
+            let server = fleet.of_incarnation(server);
             server.is_some_and(|server| !server.is_draining())
         };
         self.leaving_updates.retain(is_unknown_to_store);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -2,7 +2,7 @@
 //! configuration and list of servers from an object store.
 //!
 //! The modules follow the path of a request. [`listen`] accepts it and [`request`] serves it:
-//! `open_request` reads it and finds its [`configuration`] route, and `offers` attempts it on the
+//! `open_request` reads it and finds its [`configuration`] route, and `attempts` sends it to the
 //! backend servers that [`choice`] selects from the [`fleet`], over the connections of [`pool`] and
 //! within the limits of [`budget`]. `request_failure` defines the other responses. [`follow`] keeps
 //! configuration and fleet up to date from an [`store::ObjectStore`], and [`peers`] does so from
@@ -19,6 +19,8 @@
 pub mod answer;
 mod answer_claims;
 mod answer_outcome;
+pub mod attempt_record;
+mod attempts;
 pub mod budget;
 pub mod catch_up;
 pub mod choice;
@@ -27,14 +29,13 @@
 pub mod configuration_builder;
 pub mod customer;
 pub mod decision_log;
-mod ended_servers;
 pub mod evacuation;
 pub mod exchange;
 pub mod fingerprint;
 pub mod fleet;
+mod fleet_apply;
 pub mod fleet_change;
 mod fleet_index;
-mod fleet_put;
 pub mod fleet_server;
 pub mod fleet_told;
 pub mod follow;
@@ -55,8 +56,7 @@
 pub mod limits;
 pub mod listen;
 pub mod metrics_page;
-pub mod offer_record;
-mod offers;
+mod name_interner;
 mod open_request;
 pub mod packed_servers;
 pub mod partial_updates;
@@ -67,13 +67,13 @@
 pub mod pool;
 pub mod quarantine;
 mod quarantine_role;
-pub mod region_distance;
-pub mod region_shares;
+pub mod region_latency;
+pub mod region_weights;
+mod removed_servers;
 pub mod request;
 mod request_failure;
 pub mod rollout_role;
 pub mod route_times;
-mod seen_server;
 pub mod self_report;
 mod send_gate;
 pub mod server;
@@ -81,8 +81,8 @@
 pub mod server_limit;
 mod server_limit_role;
 pub mod server_notice;
+mod server_observations;
 pub mod settings;
-mod shared_names;
 pub mod stop;
 pub mod store;
 mod store_era;
--- a/src/entry/past_notices.rs
+++ b/src/entry/past_notices.rs
@@ -22,16 +22,16 @@
 
 impl PastNotices {
     /// Retains the notice of a server that is gone.
-    pub(super) fn put(&mut self, start_hash: u64, notice: ServerNotice, now: Moment) {
+    pub(super) fn put(&mut self, incarnation_hash: u64, notice: ServerNotice, now: Moment) {
         if notice.has_announcement() {
             let past = PastNotice { notice, since: now };
-            self.notices.insert(start_hash, past);
+            self.notices.insert(incarnation_hash, past);
         }
     }
 
     /// Takes the retained notice of a server that has returned.
-    pub(super) fn take(&mut self, start_hash: u64) -> Option<ServerNotice> {
-        let past = self.notices.remove(&start_hash);
+    pub(super) fn take(&mut self, incarnation_hash: u64) -> Option<ServerNotice> {
+        let past = self.notices.remove(&incarnation_hash);
         past.map(|past| past.notice)
     }
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -9,6 +9,7 @@
 use serde_json::json;
 
 use super::answer::{AnswerBody, StreamEnd};
+use super::attempts::{self, AnsweredRequest};
 use super::configuration::RouteRule;
 use super::customer::CustomerRule;
 use super::decision_log::LogPriority;
@@ -17,7 +18,6 @@
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
 use super::metrics_page::RequestEnd;
-use super::offers::{self, AnsweredRequest};
 use super::open_request::OpenRequest;
 use super::pool::ServerSender;
 use super::quarantine_role;
@@ -42,7 +42,7 @@
         Ok(open) => {
             guard.route = Some(rc::Rc::clone(&open.route));
             guard.customer.clone_from(&open.customer);
-            match offers::run(&host, &open).await {
+            match attempts::run(&host, &open).await {
                 Ok(answered) => forward_answer(&host, &open, answered),
                 Err(failure) => {
                     guard.fingerprint = Some(open.fingerprint());
@@ -234,7 +234,7 @@
         "time_left_ms": open.caller_timeout.map(|left| left.as_millis() as u64),
         "customer": open.customer.as_ref().map(|customer| &customer.name),
         "object": open.object.map(|object| format!("{object:016x}")),
-        "offer": answered.offer,
+        "offer": answered.attempt,
     });
     host.log
         .write(EventCode::RequestAnswered, LogPriority::Ordinary, fields);
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -220,7 +220,7 @@
                 retry_after_ms,
                 "every server is at its limit or in backoff",
             ),
-            NoServer::NoneFit => Self::refused(
+            NoServer::NoneEligible => Self::refused(
                 RequestEnd::RefusedNoServer,
                 retry_after_ms,
                 "no server is eligible",
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -66,7 +66,7 @@
     /// Handles what an answer of `server` advertises.
     pub(super) fn on_advertised_limit(&self, server: &FleetServer, answer: &AdvertisedInAnswer) {
         let change = self.server_limits.table.borrow_mut().on_answer(
-            server.start_hash,
+            server.incarnation_hash,
             answer.advertised,
             answer.sent_in,
             answer.is_proven,
@@ -98,7 +98,7 @@
             .server_limits
             .table
             .borrow()
-            .update_of(server.start_hash);
+            .update_of(server.incarnation_hash);
         let Some(update) = update else {
             return Some(SendToken::NotNeeded);
         };
@@ -120,14 +120,14 @@
             }
         };
         let mut table = self.server_limits.table.borrow_mut();
-        table.on_denied(server.start_hash, wait_ms, self.now());
+        table.on_denied(server.incarnation_hash, wait_ms, self.now());
         None
     }
 
     /// Whether `token` permits sending one request to `server` now.
     pub(super) fn is_token_valid(&self, server: &FleetServer, token: SendToken) -> bool {
         let limits = self.server_limits.table.borrow();
-        let is_limited = limits.rate_of(server.start_hash).is_some();
+        let is_limited = limits.rate_of(server.incarnation_hash).is_some();
         token.is_valid(is_limited, self.now())
     }
 
@@ -140,7 +140,7 @@
             LimitOwner::ThisHost => Some(self.grant_send_token(server)),
             LimitOwner::Unknown => None,
             LimitOwner::Peer { address, is_local } => {
-                self.server_limits.on_other_owner(server.start_hash);
+                self.server_limits.on_other_owner(server.incarnation_hash);
                 self.request_send_token_from(address, is_local, update)
                     .await
             }
@@ -182,7 +182,7 @@
         let peers = self.peers.borrow();
         let query = LimitOwnerQuery {
             region: &server.region,
-            server: server.start_hash,
+            server: server.incarnation_hash,
             own: &own,
             may_own: !self.is_leaving(),
         };
@@ -196,12 +196,12 @@
             return TokenVerdict::NotHere;
         }
         let mut table = self.server_limits.table.borrow_mut();
-        table.grant(server.start_hash, self.now())
+        table.grant(server.incarnation_hash, self.now())
     }
 
     /// Applies an update for a server that is known here; updates for unknown servers are ignored.
     fn apply_limit_update(&self, update: &LimitUpdate, source: &str) {
-        let server = self.fleet.borrow().of_start(update.server);
+        let server = self.fleet.borrow().of_incarnation(update.server);
         let Some(server) = server else {
             return;
         };
@@ -245,7 +245,7 @@
         self.server_limits.pending_requests.remove_abandoned();
         let mut table = self.server_limits.table.borrow_mut();
         let fleet = self.fleet.borrow();
-        table.on_tick(|server| fleet.of_start(server).is_some(), self.now());
+        table.on_tick(|server| fleet.of_incarnation(server).is_some(), self.now());
         drop(fleet);
         let updates = table.take_unsent();
         drop(table);
@@ -265,7 +265,7 @@
     fn on_send_token_request(&self, request: &SendTokenRequest, source: net::SocketAddr) {
         self.apply_limit_update(&request.update, "peer");
         // A server that is unknown here has no known limit owner.
-        let server = self.fleet.borrow().of_start(request.update.server);
+        let server = self.fleet.borrow().of_incarnation(request.update.server);
         let owner = server
             .as_ref()
             .map_or(LimitOwner::Unknown, |server| self.limit_owner_of(server));
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -1,10 +1,10 @@
-//! Routes and the choice of a server.
+//! Tests of route lookup and server selection.
 
 use std::collections::BTreeSet;
 
 use ledgespool::entry::budget::ColdShare;
 use ledgespool::entry::choice::{
-    self, ChoiceQuery, HOME_PLACES, NoServer, OPEN_PLACES, ServerChoice,
+    self, ChoiceQuery, GLOBAL_CANDIDATES, HOME_CANDIDATES, NoServer, ServerChoice,
 };
 use ledgespool::entry::configuration::{
     CallerLimits, RequestKind, RouteRule, RouteTable, ServiceConfiguration, ServiceShare,
@@ -12,8 +12,8 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_distance::RegionDistances;
-use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
+use ledgespool::entry::region_latency::RegionLatencies;
+use ledgespool::entry::region_weights::{RegionCapacity, RegionWeights};
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::server_limit::rate::AdvertisedLimit;
 use ledgespool::entry::server_limit::table::ServerLimitTable;
@@ -102,8 +102,8 @@
     fleet
 }
 
-struct Asked<'a> {
-    distances: &'a RegionDistances,
+struct QueryInput<'a> {
+    latencies: &'a RegionLatencies,
     weights: &'a RegionWeights,
     fleet: &'a Fleet,
     object: Option<u64>,
@@ -113,50 +113,50 @@
     limits: &'a ServerLimitTable,
 }
 
-fn query<'a>(asked: &Asked<'a>) -> ChoiceQuery<'a> {
+fn query<'a>(input: &QueryInput<'a>) -> ChoiceQuery<'a> {
     ChoiceQuery {
-        servers: asked.fleet.of_service("desk"),
-        object: asked.object,
+        servers: input.fleet.of_service("desk"),
+        object: input.object,
         region: "one",
-        distances: asked.distances,
-        weights: asked.weights,
-        homes: asked.homes,
-        evacuated: asked.evacuated,
+        latencies: input.latencies,
+        weights: input.weights,
+        homes: input.homes,
+        evacuated: input.evacuated,
         versions: VersionRule::Any,
-        tried: asked.tried,
-        near: false,
-        usual_ms: 100.0,
-        first_ms: 300.0,
-        patience_ms: 400.0,
+        tried: input.tried,
+        prefer_local: false,
+        typical_ms: 100.0,
+        cache_miss_ms: 300.0,
+        goal_left_ms: 400.0,
         cold_share: ColdShare {
-            all_per_s: 20.0,
+            total_per_s: 20.0,
             hosts: 1,
             own_hash: 1,
             other_hashes: None,
         },
         leave_ms: 2_000,
-        limits: asked.limits,
+        limits: input.limits,
         now: Moment(0),
     }
 }
 
-fn choose(asked: &Asked<'_>) -> ServerChoice {
-    choice::choose(&query(asked), &mut SmallRng::seed_from_u64(5))
+fn choose(input: &QueryInput<'_>) -> ServerChoice {
+    choice::choose(&query(input), &mut SmallRng::seed_from_u64(5))
 }
 
-/// The plain version of the rank: every server's, sorted.
-fn plain_rank(query: &ChoiceQuery<'_>, object: u64) -> Vec<String> {
-    let home = plain_order(query, object, |region| query.weights.of(region));
-    let open = plain_order(query, object, |_region| 1.0);
-    let mut ranked: Vec<String> = home.into_iter().take(HOME_PLACES).collect();
+/// Reference implementation of the ranking: ranks all servers and sorts them.
+fn reference_rank(query: &ChoiceQuery<'_>, object: u64) -> Vec<String> {
+    let home = reference_order(query, object, |region| query.weights.of(region));
+    let open = reference_order(query, object, |_region| 1.0);
+    let mut ranked: Vec<String> = home.into_iter().take(HOME_CANDIDATES).collect();
     let others = open.into_iter().filter(|id| !ranked.contains(id));
-    let others: Vec<String> = others.take(OPEN_PLACES).collect();
+    let others: Vec<String> = others.take(GLOBAL_CANDIDATES).collect();
     ranked.extend(others);
     ranked
 }
 
-/// All servers in the order of their ranks.
-fn plain_order(
+/// All servers sorted by rank.
+fn reference_order(
     query: &ChoiceQuery<'_>,
     object: u64,
     weight_of: impl Fn(&str) -> f64,
@@ -167,12 +167,12 @@
         .filter(|server| !query.evacuated.contains(&*server.hall))
         .filter(|server| !query.tried.iter().any(|id| **id == *server.id))
         .map(|server| {
-            let drawn = hash::mix(object ^ server.hash) >> 11;
-            let drawn = (drawn as f64 + 1.0) / (1_u64 << 53) as f64;
-            let far = query.near && *server.region != *query.region;
+            let sample = hash::mix(object ^ server.hash) >> 11;
+            let sample = (sample as f64 + 1.0) / (1_u64 << 53) as f64;
+            let is_remote = query.prefer_local && *server.region != *query.region;
             (
-                far,
-                -drawn.ln() / (f64::from(server.slots) * weight_of(&server.region)),
+                is_remote,
+                -sample.ln() / (f64::from(server.slots) * weight_of(&server.region)),
                 server.id.to_string(),
             )
         })
@@ -181,15 +181,15 @@
     ranks.into_iter().map(|(_, _, id)| id).collect()
 }
 
-fn chosen(asked: &Asked<'_>) -> Option<String> {
-    match choose(asked) {
-        ServerChoice::Offer(chosen) => Some(chosen.server.id.to_string()),
+fn chosen(input: &QueryInput<'_>) -> Option<String> {
+    match choose(input) {
+        ServerChoice::Selected(chosen) => Some(chosen.server.id.to_string()),
         ServerChoice::Refuse { .. } => None,
     }
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_found() {
+fn finds_the_route_with_the_longest_prefix() {
     let table = table(vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn shares_are_laid_end_to_end() {
+fn service_shares_are_cumulative() {
     let route = route("r", "a", "/");
     assert_eq!(route.service_at(0.0), Some("desk"));
     assert_eq!(route.service_at(0.899), Some("desk"));
@@ -212,11 +212,11 @@
 }
 
 #[test]
-fn an_object_keeps_its_server_and_moves_on_only_when_it_is_full() {
+fn an_object_moves_only_when_its_server_is_full() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
-    let asked = Asked {
-        distances: &RegionDistances::default(),
+    let input = QueryInput {
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(7),
@@ -225,14 +225,14 @@
         tried: &[],
         limits: &ServerLimitTable::default(),
     };
-    let first = chosen(&asked).expect("a server");
-    assert_eq!(chosen(&asked).as_deref(), Some(first.as_str()));
+    let first = chosen(&input).expect("a server");
+    assert_eq!(chosen(&input).as_deref(), Some(first.as_str()));
     let server = fleet
         .of_service("desk")
         .iter()
         .find(|server| *server.id == *first);
-    let server = server.expect("the chosen one");
-    server.on_load(
+    let server = server.expect("the selected server");
+    server.on_load_report(
         ServerLoad {
             running: 3,
             waiting: 9,
@@ -240,17 +240,17 @@
         },
         Moment(0),
     );
-    assert_ne!(chosen(&asked).as_deref(), Some(first.as_str()));
+    assert_ne!(chosen(&input).as_deref(), Some(first.as_str()));
 }
 
-/// A first run costs those behind it: a server that knows the object is preferred to an idle one
-/// that does not, as long as its answer comes in time.
+/// A cache miss delays the requests behind it. A server that has the object cached is therefore
+/// preferred to an idle one that does not, as long as its answer is in time.
 #[test]
-fn a_short_wait_at_a_server_that_knows_the_object_beats_a_first_run() {
+fn a_short_wait_for_a_cached_object_beats_a_cache_miss() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
-    let asked = Asked {
-        distances: &RegionDistances::default(),
+    let input = QueryInput {
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(7),
@@ -259,48 +259,52 @@
         tried: &[],
         limits: &ServerLimitTable::default(),
     };
-    let first = chosen(&asked).expect("a server");
+    let first = chosen(&input).expect("a server");
     let server = fleet
         .of_service("desk")
         .iter()
         .find(|server| *server.id == *first);
-    // Four requests ahead of three slots: 133 ms of wait and 100 of work, against 300 of a first
-    // run on an idle server.
+    // Four requests ahead of three slots: 133 ms of waiting and 100 ms of processing, against 300
+    // ms for a cache miss on an idle server.
     let load = ServerLoad {
         running: 3,
         waiting: 3,
         slots: 3,
     };
-    server.expect("the chosen one").on_load(load, Moment(0));
+    server
+        .expect("the selected server")
+        .on_load_report(load, Moment(0));
     let patient = ChoiceQuery {
-        patience_ms: 500.0,
-        first_ms: 200.0,
-        ..query(&asked)
+        goal_left_ms: 500.0,
+        cache_miss_ms: 200.0,
+        ..query(&input)
     };
     match choice::choose(&patient, &mut SmallRng::seed_from_u64(5)) {
-        ServerChoice::Offer(chosen) => assert_eq!(*chosen.server.id, *first),
+        ServerChoice::Selected(chosen) => assert_eq!(*chosen.server.id, *first),
         ServerChoice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
 
-fn room(region: &str, hosts: u32, slots: u32) -> RegionRoom {
-    RegionRoom {
+fn capacity(region: &str, hosts: u32, slots: u32) -> RegionCapacity {
+    RegionCapacity {
         region: region.to_owned(),
         hosts,
         slots,
     }
 }
 
-/// With weights, a region's objects stay on its own servers; the places behind the first do not.
+/// With region weights, a region's objects stay on its own servers; the candidates after the first
+/// may be elsewhere.
 #[test]
-fn a_region_with_room_keeps_its_objects_and_has_alternatives_elsewhere() {
+fn a_region_with_capacity_keeps_its_objects_and_has_alternatives_elsewhere() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
-    let weights = RegionWeights::for_region("one", &[room("one", 3, 36), room("two", 3, 36)]);
-    let mut elsewhere = 0;
+    let weights =
+        RegionWeights::for_region("one", &[capacity("one", 3, 36), capacity("two", 3, 36)]);
+    let mut remote_objects = 0;
     for object in 0..200 {
-        let asked = Asked {
-            distances: &RegionDistances::default(),
+        let input = QueryInput {
+            latencies: &RegionLatencies::default(),
             weights: &weights,
             fleet: &fleet,
             object: Some(object),
@@ -309,34 +313,34 @@
             tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        let ranked = choice::rank_by_object(&query(&asked), object);
+        let ranked = choice::rank_by_object(&query(&input), object);
         let regions: Vec<&str> = ranked.iter().map(|server| &*server.region).collect();
-        // A weight of 0.02 is left to the other region.
-        elsewhere += usize::from(regions[0] != "one");
-        assert_eq!(ranked.len(), HOME_PLACES + OPEN_PLACES);
+        // The other region has the minimum weight of 0.02.
+        remote_objects += usize::from(regions[0] != "one");
+        assert_eq!(ranked.len(), HOME_CANDIDATES + GLOBAL_CANDIDATES);
     }
-    assert!(elsewhere <= 10, "{elsewhere} of 200");
+    assert!(remote_objects <= 10, "{remote_objects} of 200");
 }
 
 #[test]
-fn one_long_answer_does_not_make_a_server_slow_and_two_do() {
+fn two_consecutive_long_answers_make_a_server_slow() {
     let fleet = fleet(1);
     let server = &fleet.of_service("desk")[0];
-    server.on_pace(1.0, Moment(0));
-    server.on_pace(9.0, Moment(1));
-    assert!(server.pace(Moment(1)) < 1.01);
-    server.on_pace(9.0, Moment(2));
-    assert!(server.pace(Moment(2)) > 2.0);
+    server.record_slowdown(1.0, Moment(0));
+    server.record_slowdown(9.0, Moment(1));
+    assert!(server.slowdown(Moment(1)) < 1.01);
+    server.record_slowdown(9.0, Moment(2));
+    assert!(server.slowdown(Moment(2)) > 2.0);
 }
 
 #[test]
-fn homes_evacuated_halls_and_tried_servers_are_kept_to() {
+fn respects_homes_evacuated_halls_and_tried_servers() {
     let fleet = fleet(24);
     let none = BTreeSet::new();
     let home = ["two".to_owned()];
     for object in 0..200 {
-        let asked = Asked {
-            distances: &RegionDistances::default(),
+        let input = QueryInput {
+            latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
             fleet: &fleet,
             object: Some(object),
@@ -345,7 +349,7 @@
             tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        let id = chosen(&asked).expect("a server");
+        let id = chosen(&input).expect("a server");
         let server = fleet
             .of_service("desk")
             .iter()
@@ -353,8 +357,8 @@
         assert_eq!(server.map(|server| &*server.region), Some("two"));
     }
     let both: BTreeSet<String> = ["east".to_owned(), "west".to_owned()].into();
-    let asked = Asked {
-        distances: &RegionDistances::default(),
+    let input = QueryInput {
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(1),
@@ -364,14 +368,14 @@
         limits: &ServerLimitTable::default(),
     };
     assert!(matches!(
-        choose(&asked),
+        choose(&input),
         ServerChoice::Refuse {
-            reason: NoServer::NoneFit,
+            reason: NoServer::NoneEligible,
             ..
         }
     ));
-    let asked = Asked {
-        distances: &RegionDistances::default(),
+    let input = QueryInput {
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: Some(1),
@@ -380,19 +384,19 @@
         tried: &[],
         limits: &ServerLimitTable::default(),
     };
-    let first = [chosen(&asked).expect("a server")];
-    let asked = Asked {
+    let first = [chosen(&input).expect("a server")];
+    let input = QueryInput {
         tried: &first,
-        ..asked
+        ..input
     };
-    assert_ne!(chosen(&asked).as_deref(), Some(first[0].as_str()));
+    assert_ne!(chosen(&input).as_deref(), Some(first[0].as_str()));
 }
 
 #[test]
-fn when_all_are_full_the_request_is_refused_with_a_time() {
+fn a_request_is_refused_with_a_retry_time_when_all_servers_are_full() {
     let fleet = fleet(6);
     for server in fleet.of_service("desk") {
-        server.on_load(
+        server.on_load_report(
             ServerLoad {
                 running: 3,
                 waiting: 30,
@@ -403,8 +407,8 @@
     }
     let none = BTreeSet::new();
     for object in [Some(3), None] {
-        let asked = Asked {
-            distances: &RegionDistances::default(),
+        let input = QueryInput {
+            latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
             fleet: &fleet,
             object,
@@ -413,16 +417,16 @@
             tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        match choose(&asked) {
+        match choose(&input) {
             ServerChoice::Refuse {
                 reason,
-                come_back_ms,
+                retry_after_ms,
                 free_slots,
             } => {
                 assert_eq!((reason, free_slots), (NoServer::AllFull, 0));
-                assert!((50..=150).contains(&come_back_ms), "{come_back_ms}");
+                assert!((50..=150).contains(&retry_after_ms), "{retry_after_ms}");
             }
-            ServerChoice::Offer(chosen) => panic!("offered to {}", chosen.server.id),
+            ServerChoice::Selected(chosen) => panic!("selected {}", chosen.server.id),
         }
     }
 }
@@ -434,127 +438,128 @@
         ..ProptestConfig::default()
     })]
 
-    /// An object moves only if its own server leaves, and then to its next in rank.
+    /// An object moves only if its own server leaves, and then to the next server in rank.
     #[test]
-    fn other_servers_coming_and_going_moves_no_object(object in any::<u64>(), gone in 0_usize..24) {
-        let whole = fleet(24);
+    fn a_change_of_other_servers_moves_no_object(object in any::<u64>(), leaving_server in 0_usize..24) {
+        let all_servers = fleet(24);
         let none = BTreeSet::new();
-        let asked = Asked {
-            distances: &RegionDistances::default(),
+        let input = QueryInput {
+            latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
-            fleet: &whole,
+            fleet: &all_servers,
             object: Some(object),
             homes: &[],
             evacuated: &none,
                 tried: &[],
             limits: &ServerLimitTable::default(),
         };
-        let first = chosen(&asked).expect("a server");
-        let leaver = [format!("i-{gone:03}")];
-        let after = chosen(&Asked { tried: &leaver, ..asked }).expect("a server");
-        if leaver[0] != first {
+        let first = chosen(&input).expect("a server");
+        let leaving = [format!("i-{leaving_server:03}")];
+        let after = chosen(&QueryInput { tried: &leaving, ..input }).expect("a server");
+        if leaving[0] != first {
             prop_assert_eq!(after, first);
         }
     }
 
-    /// The servers that are passed over unranked would not have been among the first.
+    /// The servers that are skipped without computing their ranks would not be among the first.
     #[test]
-    fn the_first_in_rank_are_those_of_the_plain_version(
+    fn ranking_matches_the_reference(
         object in any::<u64>(),
         slots in proptest::collection::vec(1_u32..20, 1..120),
         evacuate in any::<bool>(),
-        near in any::<bool>(),
+        prefer_local in any::<bool>(),
         tried in 0_usize..120,
         hosts in (0_u32..9, 0_u32..9),
     ) {
-        let whole = fleet_with_slots(&slots);
-        let weights = RegionWeights::for_region("one", &[room("one", hosts.0, 30), room("two", hosts.1, 60)]);
+        let all_servers = fleet_with_slots(&slots);
+        let weights = RegionWeights::for_region("one", &[capacity("one", hosts.0, 30), capacity("two", hosts.1, 60)]);
         let evacuated: BTreeSet<String> = evacuate.then(|| "west".to_owned()).into_iter().collect();
         let tried = [format!("i-{tried:03}")];
-        let asked = Asked {
-            distances: &RegionDistances::default(),
+        let input = QueryInput {
+            latencies: &RegionLatencies::default(),
             weights: &weights,
-            fleet: &whole,
+            fleet: &all_servers,
             object: Some(object),
             homes: &[],
             evacuated: &evacuated,
                 tried: &tried,
             limits: &ServerLimitTable::default(),
         };
-        let query = ChoiceQuery { near, ..query(&asked) };
+        let query = ChoiceQuery { prefer_local, ..query(&input) };
         let ranked = choice::rank_by_object(&query, object);
         let ranked: Vec<String> = ranked.iter().map(|server| server.id.to_string()).collect();
-        prop_assert_eq!(ranked, plain_rank(&query, object));
+        prop_assert_eq!(ranked, reference_rank(&query, object));
     }
 
-    /// Every region's servers get the same share of their slots, and own objects go far only for want
-    /// of room.
+    /// The servers of every region get the same share of their slots, and objects leave their
+    /// region only if its capacity is too small.
     #[test]
     fn regions_are_equally_busy(hosts in proptest::collection::vec(1_u32..30, 3), slots in proptest::collection::vec(1_u32..90, 3)) {
         let names = ["a", "b", "c"];
-        let rooms: Vec<RegionRoom> = (0..3).map(|place| room(names[place], hosts[place], slots[place])).collect();
+        let capacities: Vec<RegionCapacity> = (0..3).map(|place| capacity(names[place], hosts[place], slots[place])).collect();
         let all_hosts = f64::from(hosts.iter().sum::<u32>());
         let all_slots = f64::from(slots.iter().sum::<u32>());
         let mut work = [0.0; 3];
         for own in 0..3 {
-            let weights = RegionWeights::for_region(names[own], &rooms);
+            let weights = RegionWeights::for_region(names[own], &capacities);
             let demand = f64::from(hosts[own]) / all_hosts;
             for at in 0..3 {
                 let supply = f64::from(slots[at]) / all_slots;
                 work[at] += demand * weights.of(names[at]) * supply;
                 if at == own {
-                    let stays = (supply / demand).min(1.0);
-                    prop_assert!((weights.of(names[at]) * supply - stays).abs() < 1e-9 + 0.02 * supply);
+                    let expected_fraction = (supply / demand).min(1.0);
+                    prop_assert!((weights.of(names[at]) * supply - expected_fraction).abs() < 1e-9 + 0.02 * supply);
                 }
             }
         }
         for at in 0..3 {
             let supply = f64::from(slots[at]) / all_slots;
-            // The least weight adds up to 0.02 from each of two other regions.
+            // The minimum weight adds up to 0.02 from each of two other regions.
             prop_assert!((work[at] / supply - 1.0).abs() < 0.041, "{} of {}", work[at], supply);
         }
     }
 
-    /// The plain version of the choice on idle servers: the lowest of all ranks. Compared by
-    /// leaving out what was chosen before: that gives the same order as a full sort would.
+    /// On idle servers the one with the lowest rank is selected. Excluding each selected server in
+    /// turn must give every server exactly once, as sorting by rank does.
     #[test]
-    fn servers_are_tried_in_one_order(object in any::<u64>()) {
-        let whole = fleet(9);
+    fn excluding_tried_servers_selects_each_server_once(object in any::<u64>()) {
+        let all_servers = fleet(9);
         let none = BTreeSet::new();
         let mut tried: Vec<String> = Vec::new();
         for _ in 0..9 {
-            let asked = Asked {
-                distances: &RegionDistances::default(),
+            let input = QueryInput {
+                latencies: &RegionLatencies::default(),
             weights: &RegionWeights::default(),
-            fleet: &whole,
+            fleet: &all_servers,
                 object: Some(object),
                 homes: &[],
                 evacuated: &none,
                         tried: &tried,
                 limits: &ServerLimitTable::default(),
             };
-            let next = chosen(&asked).expect("a server");
+            let next = chosen(&input).expect("a server");
             prop_assert!(!tried.contains(&next));
             tried.push(next);
         }
-        prop_assert!(tried.len() >= HOME_PLACES + OPEN_PLACES);
+        prop_assert!(tried.len() >= HOME_CANDIDATES + GLOBAL_CANDIDATES);
     }
 }
 
-/// A server at its limit is passed over, and who finds none other hears when one may take a request.
+/// A server at its limit is skipped; if every server is, the retry-after time is when the first one
+/// may accept a request.
 #[test]
-fn a_server_without_rights_is_passed_over_until_one_may_be_had() {
+fn a_server_without_tokens_is_skipped_until_one_is_available() {
     let fleet = fleet(2);
     let none = BTreeSet::new();
     let servers = fleet.of_service("desk");
     let mut limits = ServerLimitTable::default();
     let limit = AdvertisedLimit::from_texts(std::iter::once("2"));
     for server in servers {
-        limits.on_answer(server.start_hash, limit, None, true, Moment(0));
+        limits.on_answer(server.incarnation_hash, limit, None, true, Moment(0));
     }
-    limits.on_denied(servers[0].start_hash, 700, Moment(0));
-    let asked = Asked {
-        distances: &RegionDistances::default(),
+    limits.on_denied(servers[0].incarnation_hash, 700, Moment(0));
+    let input = QueryInput {
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         fleet: &fleet,
         object: None,
@@ -563,22 +568,22 @@
         tried: &[],
         limits: &limits,
     };
-    assert_eq!(chosen(&asked).expect("a server"), servers[1].id.to_string());
+    assert_eq!(chosen(&input).expect("a server"), servers[1].id.to_string());
     let mut both = ServerLimitTable::default();
     for (server, wait_ms) in servers.iter().zip([700, 400]) {
-        both.on_answer(server.start_hash, limit, None, true, Moment(0));
-        both.on_denied(server.start_hash, wait_ms, Moment(0));
+        both.on_answer(server.incarnation_hash, limit, None, true, Moment(0));
+        both.on_denied(server.incarnation_hash, wait_ms, Moment(0));
     }
-    let refused = choose(&Asked {
+    let refused = choose(&QueryInput {
         limits: &both,
-        ..asked
+        ..input
     });
-    // 50 to 150 ms more, so that those that were refused together come back apart.
+    // 50 to 150 ms more, so that requests refused together are not retried together.
     assert!(matches!(
         refused,
         ServerChoice::Refuse {
             reason: NoServer::AllLimited,
-            come_back_ms: 450..=550,
+            retry_after_ms: 450..=550,
             ..
         }
     ));
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -396,7 +396,7 @@
         slack: SLACK,
         hosts: peers.host_count(),
     };
-    assert!(!RetryWindow::with_length(10_000).try_repeat(&share, Moment(0)));
+    assert!(!RetryWindow::with_length(10_000).try_retry(&share, Moment(0)));
 }
 
 /// Membership counts as complete after a timeout, which may be too early in a large deployment.
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -7,8 +7,8 @@
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_server::FleetServer;
 use ledgespool::entry::lapse_hold::MissingSource;
-use ledgespool::entry::region_distance::RegionDistances;
-use ledgespool::entry::region_shares::RegionWeights;
+use ledgespool::entry::region_latency::RegionLatencies;
+use ledgespool::entry::region_weights::RegionWeights;
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::server_limit::table::ServerLimitTable;
 use ledgespool::entry::server_notice::ServerAvailability;
@@ -72,18 +72,18 @@
         servers: fleet.of_service("desk"),
         object: seed.is_multiple_of(2).then_some(seed),
         region: "one",
-        distances: &RegionDistances::default(),
+        latencies: &RegionLatencies::default(),
         weights: &RegionWeights::default(),
         homes: &[],
         evacuated: &BTreeSet::new(),
         versions: VersionRule::Any,
         tried,
-        near: false,
-        usual_ms: 100.0,
-        first_ms: 300.0,
-        patience_ms: 1_000.0,
+        prefer_local: false,
+        typical_ms: 100.0,
+        cache_miss_ms: 300.0,
+        goal_left_ms: 1_000.0,
         cold_share: ColdShare {
-            all_per_s: 20.0,
+            total_per_s: 20.0,
             hosts: 1,
             own_hash: 1,
             other_hashes: None,
@@ -100,7 +100,7 @@
     let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
     let choices = (0..SEEDS).map(|seed| choose(fleet, &tried, now, seed));
     let servers = choices.filter_map(|choice| match choice {
-        ServerChoice::Offer(chosen) => Some(chosen.server.id.to_string()),
+        ServerChoice::Selected(chosen) => Some(chosen.server.id.to_string()),
         ServerChoice::Refuse { .. } => None,
     });
     servers.collect()
@@ -213,7 +213,7 @@
 #[test]
 fn a_request_sent_before_a_backoff_does_not_block_others_after_it() {
     let fleet = fleet_of(&["a", "b"]);
-    server(&fleet, "a").begin();
+    server(&fleet, "a").begin_request();
     back_off(server(&fleet, "a"), 0, 3_000);
     assert_eq!(selected(&fleet, &[], 3_100), ids(&["a", "b"]));
 }
@@ -234,9 +234,9 @@
     let retry_after = (0..SEEDS).map(|seed| match choose(&fleet, &[], 1_000, seed) {
         ServerChoice::Refuse {
             reason: NoServer::AllLimited,
-            come_back_ms,
+            retry_after_ms,
             ..
-        } => come_back_ms,
+        } => retry_after_ms,
         other => panic!("{other:?}"),
     });
     let retry_after: Vec<u64> = retry_after.collect();
@@ -254,7 +254,7 @@
     assert!(matches!(
         choose(&fleet, &[], 20, 1),
         ServerChoice::Refuse {
-            reason: NoServer::NoneFit,
+            reason: NoServer::NoneEligible,
             ..
         }
     ));
