--- a/src/entry/quarantine/mod.rs
+++ b/src/entry/quarantine/mod.rs
@@ -20,8 +20,8 @@
 //! with another blocked request, is requested often and gets its first probe after
 //! [`EARLY_PROBE_DELAY_MS`].
 //!
-//! Merging records is commutative and idempotent ([`table::QuarantineTable`]), and heartbeats carry
-//! a digest of them, so a host that was partitioned, suspended or started later detects what it is
+//! Records may be merged in any order and more than once ([`table::QuarantineTable`]), and heartbeats
+//! carry a digest of them, so a host that was partitioned, suspended or started later detects what it is
 //! missing. Blocked requests are also written to the store, so they survive the loss of all hosts.
 
 pub mod message;
