--- a/src/worker/answer.rs
+++ b/src/worker/answer.rs
@@ -1,4 +1,5 @@
-//! Answers to callers: refusals with their codes, and streamed answers of backend servers.
+//! Builds responses to callers: refusals with a result code, and streamed answers of backend
+//! servers.
 
 use std::{io, pin, task, time};
 
@@ -16,17 +17,17 @@
 pub(super) const RETRY_HEADER: &str = "x-ledgespool-retry-after-ms";
 pub(super) const LOOKUP_HEADER: &str = "x-ledgespool-lookup";
 
-/// A server may pause this long within an answer before it counts as broken.
+/// A server that sends nothing for this long within an answer counts as broken.
 const STALL_LIMIT: time::Duration = time::Duration::from_secs(10);
 
-/// A final answer that was not made by a backend server.
+/// A final response that this host makes itself, instead of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct CallerRefusal {
     pub(super) code: ResultCode,
     pub(super) retry_after_ms: Option<u64>,
-    /// The id of the request, once it is known.
+    /// The request's id, once it has been read.
     pub(super) request_id: Option<String>,
-    /// The recorded status of a repeated claim.
+    /// The recorded status, when the claim key was already used.
     pub(super) recorded_status: Option<u16>,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// The refusal of a worker that is not set up; it is refused before anything was sent.
+/// The refusal of a worker that is not set up. Nothing was sent to a server.
 pub(super) const fn internal_refusal() -> CallerRefusal {
     CallerRefusal::with_code(
         ResultCode::WorkRejected,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Renders a refusal: status, headers, and a body that says the same for people.
+/// Renders a refusal: status, headers, and a JSON body with the same content.
 pub(super) fn refusal_response(refusal: &CallerRefusal) -> http::Response<Body> {
     let outcome = refusal.code.outcome().unwrap_or(RequestOutcome::Unknown);
     let body = serde_json::json!({
@@ -94,7 +95,7 @@
     response
 }
 
-/// An answer that gotham made itself, such as that for an unknown path, gets a code too.
+/// Adds a result code to responses that gotham makes itself, such as 404 for an unknown path.
 pub(super) fn with_code(response: http::Response<Body>) -> http::Response<Body> {
     if response.headers().contains_key(CODE_HEADER) {
         return response;
@@ -111,12 +112,12 @@
     }
 }
 
-/// Tells the caller to look up before its next request.
+/// Asks the caller to repeat its look-up before the next request.
 pub(super) fn send_to_look_up(headers: &mut http::HeaderMap) {
     put(headers, LOOKUP_HEADER, "again");
 }
 
-/// Marks the head of a server's answer for the caller.
+/// Adds this host's headers to a server's answer.
 pub(super) fn mark_answered(
     headers: &mut http::HeaderMap,
     request_id: &str,
@@ -136,10 +137,10 @@
     }
 }
 
-/// Streams a server's answer; whatever ends it, the request is finished exactly once.
+/// Streams a server's answer and finishes the request exactly once, however the stream ends.
 ///
-/// A break turns into an error of the body, which cuts the caller's connection: the missing end is
-/// visible, and a part is never shown as the whole.
+/// A broken stream becomes an error of the body, which closes the caller's connection, so that the
+/// caller never takes a partial answer for a complete one.
 pub(super) struct AnswerBody {
     inner: Incoming,
     request: Option<AnsweredRequest>,
--- a/src/worker/attempt.rs
+++ b/src/worker/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts at backend servers, one after the other: what came of each and what that proves.
+//! Sends a request to backend servers, one attempt after the other, and classifies the result of
+//! each attempt.
 
 use std::time;
 
@@ -21,21 +22,21 @@
 use crate::result_code::ResultCode;
 use crate::steering::{AttemptResult, COME_BACK_LONG_MS, RequestAdmission};
 
-/// A connection to a backend server must open within this time.
+/// Timeout for opening a connection to a backend server.
 const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(500);
 
-/// Marks an answer by which a server says that it did not run the request.
+/// Header by which a server states that it did not run the request.
 const SHED_HEADER: &str = "x-ledgespool-not-run";
-/// The load that a server claims: requests that it runs.
+/// Header in which a server reports its load: the number of requests that it runs.
 const LOAD_HEADER: &str = "x-ledgespool-load";
-/// A server says that it leaves.
+/// Header by which a server announces its shutdown.
 const LEAVING_HEADER: &str = "x-ledgespool-leaving";
 
-/// How one attempt at a server failed.
+/// Why an attempt failed.
 enum AttemptFault {
-    /// Proved not run: never written, or shed.
+    /// The request was certainly not run: it was never written, or the server shed it.
     Unrun(ResultCode),
-    /// Sent, without a trustworthy answer.
+    /// The request was sent, but no valid answer arrived.
     Unknown(ResultCode),
 }
 
@@ -107,8 +108,8 @@
     time::Duration::from_millis(left.unwrap_or_default())
 }
 
-/// A connection: an idle one for repeatable requests, otherwise always a new one, so that a
-/// connection which its server has just closed can't leave the outcome unknown.
+/// Returns an idle connection for repeatable requests and a new one for all others. A server may
+/// close an idle connection just as the request is sent, which would leave the outcome unknown.
 async fn open_connection(
     held: &HeldRequest,
     limit: time::Duration,
@@ -150,7 +151,7 @@
     outgoing
 }
 
-/// Whether the answer's head belongs to this request and says that the request was run.
+/// Checks that the answer belongs to this request and that the server ran the request.
 fn check_answer(
     held: &mut HeldRequest,
     request: &CallerRequest,
@@ -187,7 +188,8 @@
     Ok(())
 }
 
-/// Whether an answer names this request, or names none and can be of no other.
+/// Whether the answer carries this request's id. An answer without an id is accepted on a
+/// connection that was not used before, since it can't belong to another request.
 fn belongs(
     request: &CallerRequest,
     parts: &http::response::Parts,
@@ -206,7 +208,7 @@
 fn note_leaving(admission: &RequestAdmission) {
     with_worker(|worker: &mut WorkerState| {
         if let Some(name) = worker.steering.mark_leaving(admission) {
-            // When the ring is full, the server's next answer says it again.
+            // If the ring is full, the server's next answer reports it again.
             let _taken = worker.control.tell(ControlInput::ServerLeaving(name));
         }
     });
--- a/src/worker/claiming.rs
+++ b/src/worker/claiming.rs
@@ -1,4 +1,4 @@
-//! Claiming the key of a request that may not be repeated, before anything is sent.
+//! Claims the key of a request that must not be repeated, before anything is sent.
 
 use super::answer::{self, CallerRefusal};
 use super::head::RequestHead;
@@ -11,17 +11,17 @@
 use crate::steering::COME_BACK_LONG_MS;
 use crate::timer;
 
-/// A claim must be decided within this time, whatever the deadline.
+/// Upper bound for the wait for a claim decision, whatever the request's deadline.
 const CLAIM_LIMIT_MS: u64 = 2_000;
 
-/// A claim that was granted to a request.
+/// A claim that was granted to a request, or is being requested for it.
 #[derive(Debug, Clone)]
 pub(super) struct GrantedClaim {
     pub(super) key: ClaimKey,
     pub(super) attempt: ClaimAttempt,
 }
 
-/// The claim key of a class that may not be repeated.
+/// Reads the claim key of a request whose class is not repeatable; `None` for other classes.
 pub(super) fn read_claim_key(head: &RequestHead) -> Result<Option<ClaimKey>, CallerRefusal> {
     let class = with_worker(|worker| {
         let topology = worker.steering.topology()?;
@@ -46,8 +46,8 @@
     Ok(Some(key))
 }
 
-/// Claims the key before anything is sent. The request holds the claim from the start, so that it
-/// is given back if the caller goes away before the decision.
+/// Claims the key. The claim is recorded in the request before the decision arrives, so that it is
+/// released if the caller disconnects in the meantime.
 pub(super) async fn claim(held: &mut HeldRequest, key: ClaimKey) -> Result<(), CallerRefusal> {
     let setup = with_worker(|worker| {
         let deadline = held
--- a/src/worker/forward.rs
+++ b/src/worker/forward.rs
@@ -1,6 +1,6 @@
-//! One forwarded request: read, admit, claim, send, stream.
+//! Handles one forwarded request: read, admit, claim, send, stream.
 //!
-//! Every decision is asked of the steering role or the claim's owner; this module carries it out.
+//! The steering role and the owner of the claim make the decisions; this module carries them out.
 
 use std::pin;
 
@@ -28,7 +28,7 @@
     })
 }
 
-/// A refusal; one by a leaving host sends its caller to look up again.
+/// Renders a refusal. A leaving host also asks the caller to repeat its look-up.
 fn refuse(refusal: &CallerRefusal) -> http::Response<Body> {
     let mut response = answer::refusal_response(refusal);
     if with_worker(|worker| worker.leaving_since.is_some()) == Some(true) {
--- a/src/worker/head.rs
+++ b/src/worker/head.rs
@@ -1,4 +1,4 @@
-//! Reads what a caller says of its request in headers.
+//! Parses the path and headers of a forwarded request.
 
 use super::answer::REQUEST_HEADER;
 use crate::result_code::ResultCode;
@@ -11,11 +11,11 @@
 const MAX_ID_LENGTH: usize = 64;
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// The particulars of a forwarded request.
+/// The parsed path and headers of a forwarded request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct RequestHead {
     pub(super) service: String,
-    /// Path and query as the server sees them.
+    /// Path and query that are sent to the server.
     pub(super) target: String,
     pub(super) class: String,
     pub(super) time_left_ms: Option<u64>,
@@ -24,7 +24,7 @@
 }
 
 impl RequestHead {
-    /// Reads path and headers.
+    /// Parses path and headers.
     pub(super) fn from_request(
         uri: &http::Uri,
         headers: &http::HeaderMap,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The only value of a header; two of the same name are malformed.
+/// The value of a header; a header that occurs twice is malformed.
 fn text(headers: &http::HeaderMap, name: &str) -> Result<Option<String>, ResultCode> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
--- a/src/worker/held.rs
+++ b/src/worker/held.rs
@@ -1,4 +1,4 @@
-//! An admitted request: what it holds, and that it gives all of it back however it ends.
+//! An admitted request and the resources that it holds: units, a claim and a running attempt.
 
 use super::claiming::GrantedClaim;
 use super::incoming::CallerRequest;
@@ -7,16 +7,16 @@
 use crate::steering::{AttemptResult, RequestAdmission};
 use crate::timer::Moment;
 
-/// An admitted request. Dropping it gives its units back, and its claim if it was never sent.
+/// An admitted request. Dropping it releases its units, and also its claim if nothing was sent.
 pub(super) struct HeldRequest {
     pub(super) admission: RequestAdmission,
     pub(super) service: String,
     pub(super) class: String,
     pub(super) arrived: Moment,
     pub(super) claim: Option<GrantedClaim>,
-    /// Whether an attempt at the present server is under way.
+    /// Whether an attempt at the current server is running.
     pub(super) attempting: bool,
-    /// Whether anything may have reached a server.
+    /// Whether the request may have reached a server.
     pub(super) sent: bool,
     pub(super) finished: bool,
 }
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Another server, if the retry budget allows one.
+    /// Selects another server if the retry budget allows it.
     pub(super) fn retry(&mut self, proved_unrun: bool) -> bool {
         let retried = with_worker(|worker| {
             let now = worker.now();
@@ -62,7 +62,7 @@
     pub(super) fn settle(&mut self, status: Option<u16>) {
         if let Some(claim) = self.claim.take() {
             with_worker(|worker| {
-                // An outcome that finds the ring full leaves the claim pending, which is safe.
+                // If the ring is full, the claim stays pending, which is safe.
                 let _taken =
                     worker
                         .control
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The head of an answer came; the server stays occupied until the body has ended.
+    /// Records that the head of an answer arrived. The server stays occupied until the body ends.
     pub(super) fn answered(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
         with_worker(|worker| {
             let now = worker.now();
--- a/src/worker/incoming.rs
+++ b/src/worker/incoming.rs
@@ -1,4 +1,4 @@
-//! A caller's request as it is read, before anything is decided about it.
+//! Reads a caller's request, before any decision about it.
 
 use std::time;
 
@@ -15,10 +15,10 @@
 use crate::result_code::ResultCode;
 use crate::timer::Moment;
 
-/// A caller must send its body within this time, whatever its deadline.
+/// Timeout for reading the caller's body, whatever the request's deadline.
 const BODY_LIMIT: time::Duration = time::Duration::from_secs(10);
 
-/// A request on its way, read and checked.
+/// A request that was read and checked.
 pub(super) struct CallerRequest {
     pub(super) head: RequestHead,
     pub(super) id: String,
@@ -26,7 +26,7 @@
     pub(super) headers: http::HeaderMap,
     pub(super) body: Bytes,
     pub(super) arrived: Moment,
-    /// The caller's place, if a client block covers it.
+    /// The hall and hash of the caller's client block, if a block covers its address.
     pub(super) place: Option<BlockPlace>,
 }
 
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -1,8 +1,8 @@
-//! A worker thread: accepts callers, answers look-ups, forwards requests.
+//! A worker thread. It accepts callers, answers look-ups and forwards requests.
 //!
-//! Each worker owns its steering role, its backend connections and its slice of the host's
-//! grants, so the request path takes no lock. The state is the thread's own; gotham's handlers
-//! reach it by short calls that never span a wait.
+//! Each worker owns its steering role, its backend connections and its slice of the host's grants,
+//! so the request path takes no lock. The state is thread-local; gotham's handlers access it in
+//! short calls that never span an await.
 
 mod answer;
 mod attempt;
@@ -37,47 +37,47 @@
 use crate::timer::{BootClock, Moment};
 use crate::topology::{HallId, SteeringTopology};
 
-/// Orders that may wait for a worker. When it is full, the control thread keeps the newest order
-/// of each kind and offers it again.
+/// Commands that may be queued for a worker. When the ring is full, the control thread keeps the
+/// newest command of each kind and sends it again later.
 const ORDER_RING: usize = 256;
 
-/// What the control thread tells a worker.
+/// A command of the control thread to a worker.
 #[derive(Debug, Clone)]
 pub enum WorkerOrder {
     /// Report now.
     Tick,
-    /// Put a topology in force.
+    /// Apply a topology.
     Topology(sync::Arc<SteeringTopology>),
-    /// Put look-up answers in force.
+    /// Apply a table of look-up answers.
     Lookup(sync::Arc<LookupTable>),
-    /// Put this worker's slice of the grants in force.
+    /// Apply this worker's slice of the grants.
     Grants(HostGrants),
-    /// This host leaves, or stays after all.
+    /// Whether this host is leaving.
     Leaving(bool),
-    /// These backend servers leave.
+    /// The backend servers that are leaving, by name.
     LeavingServers(sync::Arc<Vec<String>>),
 }
 
-/// What a worker is made of.
+/// Everything needed to start a worker.
 #[derive(Debug)]
 pub struct WorkerSetup {
-    /// Counts from 0.
+    /// The worker's index, from 0.
     pub number: usize,
     /// The host's settings.
     pub settings: sync::Arc<HostSettings>,
-    /// The host and the run of its process.
+    /// The host and the incarnation of its process.
     pub identity: HostIdentity,
-    /// The shared listening socket of callers.
+    /// The listening socket for callers, shared by all workers.
     pub listener: net::TcpListener,
-    /// The way to the controller.
+    /// The channel to the controller.
     pub control: ControlPort,
-    /// The way to the event thread.
+    /// The channel to the event thread.
     pub events: EventPort,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: BootClock,
     /// Seed of random choices.
     pub seed: u64,
-    /// Turns true when the process stops.
+    /// Becomes true when the process stops.
     pub stop: watch::Receiver<bool>,
 }
 
@@ -103,7 +103,7 @@
     static WORKER: cell::RefCell<Option<WorkerState>> = const { cell::RefCell::new(None) };
 }
 
-/// Runs `work` on this thread's state; `None` on a thread that is no worker.
+/// Runs `work` on this thread's state; `None` on a thread that is not a worker.
 pub(crate) fn with_worker<T>(work: impl FnOnce(&mut WorkerState) -> T) -> Option<T> {
     WORKER.with(|worker| {
         worker
@@ -162,12 +162,12 @@
             in_flight: self.steering.in_flight(),
             draining: self.steering.draining_in_flight(),
         };
-        // A report that finds the ring full is left out; the next one says more.
+        // If the ring is full, this report is dropped; the next one follows soon.
         let _taken = self.control.tell(ControlInput::Usage(usage));
     }
 }
 
-/// Starts a worker thread; it ends after `stop` once its last request has ended.
+/// Starts a worker thread. After `stop` it ends as soon as its last request is finished.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -233,13 +233,13 @@
     listener::serve(listener, max_connections, stop, handler).await;
 }
 
-/// Lets gotham route one request.
+/// Routes one request with gotham.
 async fn answer_with(
     router: &gotham::router::Router,
     mut request: http::Request<hyper::body::Incoming>,
     peer: net::SocketAddr,
 ) -> http::Response<gotham::helpers::http::Body> {
-    // gotham draws a random id, with a system call, for each request that names none.
+    // Without this header gotham generates a random id for each request, which costs a system call.
     let unused_id = http::HeaderValue::from_static("-");
     request
         .headers_mut()
--- a/src/worker/pool.rs
+++ b/src/worker/pool.rs
@@ -4,10 +4,10 @@
 
 use crate::http_client::ClientSender;
 
-/// Idle connections kept for each server.
+/// Idle connections retained for each server.
 const MAX_IDLE: usize = 16;
 
-/// A connection and whether an answer came over it before.
+/// A connection, and whether an answer was already received over it.
 #[derive(Debug)]
 pub(super) struct PooledConnection {
     pub(super) sender: ClientSender,
@@ -21,7 +21,7 @@
 }
 
 impl ConnectionPool {
-    /// A sound idle connection, the last used first.
+    /// Takes a usable idle connection; the most recently used one comes first.
     pub(super) fn take(&mut self, address: net::SocketAddr) -> Option<PooledConnection> {
         let idle = self.idle.get_mut(&address)?;
         while let Some(connection) = idle.pop() {
@@ -32,7 +32,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Retains a connection whose last answer was read completely.
     pub(super) fn put(&mut self, address: net::SocketAddr, connection: PooledConnection) {
         let idle = self.idle.entry(address).or_default();
         idle.retain(|connection| !connection.sender.is_closed());
--- a/src/worker/route.rs
+++ b/src/worker/route.rs
@@ -16,7 +16,7 @@
 use crate::result_code::ResultCode;
 use crate::steering::COME_BACK_LONG_MS;
 
-/// The header by which a trusted forwarder names the caller.
+/// Header in which a trusted forwarder reports the caller's address.
 const CALLER_HEADER: &str = "x-ledgespool-caller";
 
 pub(super) fn build_router() -> Router {
@@ -35,7 +35,7 @@
     })
 }
 
-/// The caller's address: the peer's, or the one that a trusted forwarder names.
+/// The caller's address: the peer's, or the one that a trusted forwarder reports.
 pub(super) fn caller_address(state: &State, trusted: &[net::IpAddr]) -> Option<net::IpAddr> {
     let peer = gotham::state::client_addr(state)?.ip();
     if !trusted.contains(&peer) {
@@ -113,7 +113,7 @@
     response
 }
 
-/// 200 while the host takes callers, otherwise the reason why not.
+/// Responds with 200 while the host accepts callers, otherwise with the reason why it does not.
 fn health(state: State) -> (State, http::Response<Body>) {
     let refusal = with_worker(|worker| {
         if worker.leaving_since.is_some() {
--- a/src/worker/streamed.rs
+++ b/src/worker/streamed.rs
@@ -1,4 +1,4 @@
-//! A server's answer on its way to the caller; its end ends the request.
+//! Streams a server's answer to the caller and finishes the request when the stream ends.
 
 use gotham::helpers::http::Body;
 use http_body_util::BodyExt as _;
@@ -20,7 +20,7 @@
 }
 
 impl AnsweredRequest {
-    /// Ends the request; only a connection whose answer was read to the end is used again.
+    /// Finishes the request. Only a connection whose answer was read completely is used again.
     pub(super) fn finish(mut self, whole: bool) {
         let code = if whole {
             ResultCode::Answered
--- a/src/worker/wait.rs
+++ b/src/worker/wait.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for a unit: whoever gets one is woken, and whoever goes away leaves the line.
+//! Requests that wait for a unit. A request is woken when it gets one, and leaves the queue when
+//! its caller disconnects.
 
 use std::collections;
 
@@ -7,7 +8,8 @@
 use super::{WorkerState, answer, with_worker};
 use crate::steering::{AttemptResult, RequestAdmission, RequestRefusal, WaitTicket};
 
-/// An admission on its way to the request that waited for it. Whoever loses it gives it back.
+/// An admission that is being passed to the request that waited for it. If the request is gone,
+/// dropping the guard releases the admission.
 #[derive(Debug)]
 pub(super) struct AdmissionGuard {
     admission: Option<RequestAdmission>,
@@ -23,13 +25,13 @@
 
 type WaitResult = Result<AdmissionGuard, RequestRefusal>;
 
-/// The requests of a worker that wait.
+/// The waiting requests of a worker.
 #[derive(Debug, Default)]
 pub(super) struct WaiterTable {
     waiters: collections::HashMap<WaitTicket, oneshot::Sender<WaitResult>>,
 }
 
-/// Leaves the line when the caller goes away.
+/// Removes the request from the queue when its caller disconnects.
 struct LineGuard(WaitTicket);
 
 impl Drop for LineGuard {
@@ -42,7 +44,7 @@
     }
 }
 
-/// Waits until the request gets a unit or is refused.
+/// Waits until the request is admitted or refused.
 pub(super) async fn for_unit(ticket: WaitTicket) -> Result<RequestAdmission, RequestRefusal> {
     let (sender, receiver) = oneshot::channel();
     with_worker(|worker| worker.waiters.waiters.insert(ticket, sender));
@@ -57,13 +59,13 @@
 }
 
 impl WorkerState {
-    /// Gives the units of a finished request back, and on to whoever waits for them.
+    /// Releases the units of a finished request and passes them to waiting requests.
     pub(super) fn give_back(&mut self, admission: &RequestAdmission) {
         self.steering.finish(admission);
         self.wake_ready();
     }
 
-    /// Gives an admission back that was never used.
+    /// Releases an admission that was never used.
     fn abandon(&mut self, admission: &RequestAdmission) {
         let now = self.now();
         self.steering
@@ -71,7 +73,7 @@
         self.give_back(admission);
     }
 
-    /// Tells the requests whose waiting has ended.
+    /// Wakes the requests whose wait has ended.
     pub(super) fn wake_ready(&mut self) {
         let now = self.now();
         for end in self.steering.take_ready(now) {
@@ -83,7 +85,8 @@
                 Some(sender) => sender.send(result).err(),
                 None => Some(result),
             };
-            // The guard must not give it back itself: this worker is borrowed here.
+            // The worker is already borrowed here, so the guard's drop could not release the
+            // admission.
             if let Some(Ok(mut guard)) = unused
                 && let Some(admission) = guard.admission.take()
             {
