--- a/src/steering/attempts.rs
+++ b/src/steering/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at a server: how they end, and whether another server gets the request.
+//! Records the results of attempts at backend servers and selects another server for a retry.
 
 use super::{
     AttemptResult, ChosenServer, RequestAdmission, SteeringPolicy, SteeringRole, choice, placing,
@@ -7,12 +7,12 @@
 use crate::retry::RetryBudget;
 use crate::timer;
 
-/// Attempts of the naive baseline.
+/// Attempts for each request under the naive policy.
 const NAIVE_ATTEMPTS: u32 = 3;
 
 impl SteeringRole {
-    /// Another server of the same place for an attempt that failed, if the retry budget and the
-    /// deadline allow one. `proved_unrun` says that the first attempt did not run.
+    /// Selects another server of the same place after a failed attempt, if the retry budget and the
+    /// deadline allow it. `proved_not_run` states that the failed attempt was certainly not run.
     pub fn retry(
         &mut self,
         admission: &mut RequestAdmission,
@@ -64,7 +64,7 @@
         )
     }
 
-    /// An attempt at the admission's server ended; its place is kept until [`Self::finish`].
+    /// Records the end of an attempt. The admission keeps its units until [`Self::finish`].
     pub fn end_attempt(
         &mut self,
         admission: &RequestAdmission,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The head of an answer came, or it is known that none will; the attempt itself goes on.
+    /// Records that the head of an answer arrived, or that none will. The attempt itself continues.
     pub fn note_answer(
         &mut self,
         admission: &RequestAdmission,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Gives back the units of an admission, however it ended.
+    /// Releases the units of an admission, however the request ended.
     pub fn finish(&mut self, admission: &RequestAdmission) {
         for slot in std::iter::once(admission.place).chain(admission.route) {
             if let Some(counter) = self.units.get_mut(slot) {
--- a/src/steering/choice.rs
+++ b/src/steering/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a backend server within a place.
+//! Selects a backend server within a place.
 
 use std::net;
 
@@ -10,34 +10,34 @@
 use crate::slot_table::{SlotIndex, SlotTable};
 use crate::timer;
 
-/// At most this share of a place's servers may be left out as ejected.
+/// Largest share of a place's servers that may be skipped as ejected.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// What a worker knows of each backend server, by name and address.
+/// The health of each backend server, by name and address.
 pub(super) type HealthTable = SlotTable<(String, net::SocketAddr), ServerHealth>;
 
-/// A place with more servers is sampled, a smaller one is scanned whole.
+/// A place with at most this many servers is scanned completely; a larger one is sampled.
 const SCANNED_SERVERS: usize = 16;
-/// Servers drawn at random from a larger place.
+/// Number of servers sampled from a larger place.
 const DRAWN_SERVERS: usize = 4;
 
-/// A slot that falls to another host's units counts as so much dearer than an own one.
+/// Cost factor of a slot that is assigned to another host's units.
 const BORROWED_COST: f64 = 4.0;
 
-/// What the choice within a place depends on.
+/// The inputs of a selection within a place.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ChoiceView<'v> {
     pub(super) servers: &'v [ServerChoice],
     pub(super) health: &'v HealthTable,
-    /// How long the place's servers usually take.
+    /// Typical answer time of the place's servers.
     pub(super) typical_ms: f64,
-    /// A server that has just failed the request.
+    /// A server that has just failed this request.
     pub(super) avoid: Option<SlotIndex>,
     pub(super) now: timer::Moment,
 }
 
 impl ChoiceView<'_> {
-    /// Whether a server may get one more request of this worker.
+    /// Whether a server may get one more request from this worker.
     fn has_room(&self, choice: &ServerChoice) -> bool {
         let state = self.health.get(choice.slot);
         Some(choice.slot) != self.avoid
@@ -58,7 +58,7 @@
         })
     }
 
-    /// The cheapest of some servers that may be chosen; the first of equals.
+    /// The cheapest selectable server; the first one among equals.
     fn cheapest<'c>(
         &self,
         choices: impl Iterator<Item = &'c ServerChoice>,
@@ -81,7 +81,8 @@
         best
     }
 
-    /// When more than half look ejected, the fault is probably not theirs: then all count.
+    /// If more than half of the servers are ejected, the fault is probably not theirs, and
+    /// ejections are ignored.
     fn ignores_ejection(&self) -> bool {
         let ejected = self
             .servers
@@ -92,9 +93,9 @@
     }
 }
 
-/// The cheapest server of a small place, or the cheapest of a few drawn at random from a larger
-/// one (Mitzenmacher, 2001). The scan starts at random, so that hosts do not all pick the first of
-/// equals.
+/// Selects the cheapest server of a small place, or the cheapest of a random sample of a larger one
+/// (Mitzenmacher, 2001). The scan starts at a random position, so that hosts don't all select the
+/// first of equals.
 pub(super) fn pick_server(
     view: &ChoiceView<'_>,
     random: &mut rand::rngs::SmallRng,
@@ -128,8 +129,8 @@
     })
 }
 
-/// The naive choice, kept as the baseline of measurements: one server of the service after the
-/// other, whatever their place, load and health.
+/// The naive policy, the baseline for measurements: round robin over all servers of the service,
+/// whatever their place, load and health.
 pub(super) fn next_in_turn(service: &ServiceChoice, turn: &mut usize) -> Option<ChosenServer> {
     let places = service.near.iter().chain(&service.far);
     let servers: Vec<&ServerChoice> = places.flat_map(|place| &place.servers).collect();
--- a/src/steering/compile.rs
+++ b/src/steering/compile.rs
@@ -1,4 +1,4 @@
-//! A topology compiled for one worker: each service's places, classes, routes and shifts.
+//! Compiles a topology for one worker: the places, classes, routes and shifts of each service.
 
 use std::{collections, net};
 
@@ -22,7 +22,8 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServerChoice {
-    /// Slots of it that fall to this worker's units: used first, before others are borrowed.
+    /// Slots of the server that are assigned to this worker's units. They are used before slots of
+    /// other workers are borrowed.
     pub(super) owned: u32,
     pub(super) slot: SlotIndex,
     pub(super) address: net::SocketAddr,
@@ -180,9 +181,10 @@
         .collect()
 }
 
-/// Deals a place's slots out over its servers, one of each in turn, and counts which fall to the
-/// units from `offset` on. The slots of all hosts together are each dealt out once, so that hosts
-/// that know nothing of each other's requests still spread evenly.
+/// Numbers a place's slots round robin over its servers and counts for each server the slots in
+/// `offset..offset + units`, which are assigned to this worker. The ranges of all workers are
+/// disjoint, so that workers of different hosts spread evenly over the servers without knowing of
+/// each other's requests.
 pub(super) fn deal_slots(servers: &mut [ServerChoice], offset: u32, units: u32) {
     let most = servers.iter().map(|server| server.slots).max().unwrap_or(0);
     let own = offset..offset.saturating_add(units);
--- a/src/steering/figures.rs
+++ b/src/steering/figures.rs
@@ -1,4 +1,4 @@
-//! What the role tells of itself: requests, room, and the use of its units.
+//! Figures that the role reports: requests in flight, free units, and the usage of each place.
 
 use std::collections;
 
@@ -9,7 +9,7 @@
 use crate::timer;
 
 impl SteeringRole {
-    /// Requests still running at backend servers that get no new work.
+    /// Requests still running at backend servers that get no new requests.
     #[must_use]
     pub fn draining_in_flight(&mut self) -> u32 {
         let Some(topology) = &self.topology else {
@@ -28,7 +28,7 @@
         draining.map(|(_, health)| health.in_flight()).sum()
     }
 
-    /// Units granted and not in use, by hall.
+    /// Granted units that are not in use, by hall.
     pub fn headroom(&mut self) -> impl Iterator<Item = (&PlaceKey, u32)> {
         let halls = self
             .units
@@ -37,7 +37,7 @@
         halls.map(|(key, counter)| (key, counter.grant.saturating_sub(counter.in_use)))
     }
 
-    /// Units in use now, over all places and without routes.
+    /// Units in use now, over all places, not counting routes.
     #[must_use]
     pub fn in_flight(&mut self) -> u32 {
         let halls = self
@@ -47,7 +47,8 @@
         halls.map(|(_, counter)| counter.in_use).sum()
     }
 
-    /// Waiting requests count as load of all near places alike, since any of them would do.
+    /// Divides the waiting requests evenly over all places of the own region, since any of these
+    /// could serve them.
     fn count_waiting(&mut self) {
         for (name, service) in &self.services {
             let places = if service.near.is_empty() {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The use of each place since the last call, for the planner.
+    /// Returns the usage of each place since the last call, for the planner.
     pub fn take_usage(&mut self, now: timer::Moment) -> Vec<report::PlaceUsage> {
         let window_ms = now.since(self.window_start).max(1) as f64;
         self.window_start = now;
--- a/src/steering/line.rs
+++ b/src/steering/line.rs
@@ -1,6 +1,7 @@
-//! The waiting line of a service: requests that are expected to get a unit in time.
+//! The queue of a service: requests that are expected to get a unit in time.
 //!
-//! Heavier classes go first, then those that came first. Memory: at most [`MAX_LINE`] entries.
+//! Classes with a higher weight come first, then earlier requests. Memory: at most
+//! [`MAX_QUEUE_LENGTH`] entries.
 
 use std::collections;
 
@@ -11,18 +12,18 @@
 /// Requests of one service that may wait in one worker.
 pub(super) const MAX_LINE: usize = 1_024;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitEntry {
     pub(super) ticket: WaitTicket,
-    /// Position of its class.
+    /// Index of its class.
     pub(super) class: usize,
     pub(super) home: Option<RegionId>,
     pub(super) block_hash: u64,
     pub(super) deadline: timer::Moment,
 }
 
-/// Ordered by weight, the heaviest first, then by arrival.
+/// Sorts by descending weight, then by arrival.
 type LineKey = (std::cmp::Reverse<u32>, u64);
 
 /// The waiting requests of one service.
@@ -36,7 +37,7 @@
         self.entries.len()
     }
 
-    /// Requests that would be served before one of this weight.
+    /// The number of requests that come before a new one of this weight.
     pub(super) fn ahead_of(&self, weight: u32) -> usize {
         let end = (std::cmp::Reverse(weight), u64::MAX);
         self.entries.range(..=end).count()
@@ -53,12 +54,12 @@
         self.entries.len() < before
     }
 
-    /// The entries in their order.
+    /// The entries in order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &WaitEntry> {
         self.entries.values()
     }
 
-    /// Takes out the entries that `is_late`.
+    /// Removes and returns the entries for which `is_late` holds.
     pub(super) fn take_late(&mut self, is_late: impl Fn(&WaitEntry) -> bool) -> Vec<WaitEntry> {
         let late: Vec<WaitEntry> = self
             .entries
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -1,9 +1,9 @@
-//! The steering role of one worker: admits, holds or refuses a request on its arrival, and picks
+//! The steering role of one worker. It admits, queues or refuses a request on arrival, and selects
 //! its hall and backend server within the worker's slice of the host's grants.
 //!
 //! Memory: one counter for each place and route of the declaration, one health record for each
-//! backend server, one estimate for each class; what a new declaration drops goes once unused.
-//! Waiting requests are bounded by their line.
+//! backend server, and one estimate for each class. Entries that a new declaration no longer
+//! contains are removed once they are unused. Queues are bounded.
 
 mod attempts;
 mod choice;
@@ -38,18 +38,19 @@
 use crate::timer;
 use crate::topology::{RegionId, ServiceId, SteeringTopology};
 
-/// Come-back times lie in this range, in milliseconds.
+/// Range of retry times that are sent to refused callers, in milliseconds.
 const COME_BACK_MS: std::ops::RangeInclusive<u64> = 50..=5_000;
-/// Come-back time where only time can help: no host, no server, no configuration.
+/// Retry time if the request can't be served for now: no host, no server or no configuration.
 pub const COME_BACK_LONG_MS: u64 = 1_000;
 
-/// Which decisions a worker takes.
+/// How a worker selects servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SteeringPolicy {
-    /// Those of this project.
+    /// Budgets, health and load decide.
     #[default]
     Steered,
-    /// The baseline of measurements: servers in turn over all halls, no budget, always a retry.
+    /// The baseline for measurements: round robin over the servers of all halls, no budget, always
+    /// a retry.
     Naive,
 }
 
@@ -73,17 +74,17 @@
     turn: usize,
 }
 
-/// A waiting request's end: it got a unit, or it is refused.
+/// How the wait of a request ended: it was admitted or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitEnd {
-    /// Which request.
+    /// The ticket of the request.
     pub ticket: WaitTicket,
-    /// How it ended.
+    /// The admission or the refusal.
     pub result: Result<RequestAdmission, RequestRefusal>,
 }
 
 impl SteeringRole {
-    /// A worker of a host in `own_hall` that has neither topology nor grants.
+    /// A worker of a host in `own_hall` without topology and grants.
     #[must_use]
     pub fn new(own_hall: &str, policy: SteeringPolicy, seed: u64) -> Self {
         Self {
@@ -105,19 +106,19 @@
         }
     }
 
-    /// The topology in force.
+    /// The active topology.
     #[must_use]
     pub const fn topology(&self) -> Option<&sync::Arc<SteeringTopology>> {
         self.topology.as_ref()
     }
 
-    /// The plan sequence in force.
+    /// The sequence of the active plan.
     #[must_use]
     pub const fn installed_sequence(&self) -> u64 {
         self.grants.sequence
     }
 
-    /// Puts a topology in force; an older one is ignored.
+    /// Applies a topology; an older one is ignored.
     pub fn install_topology(&mut self, topology: &sync::Arc<SteeringTopology>, now: timer::Moment) {
         if self
             .topology
@@ -169,7 +170,7 @@
         });
     }
 
-    /// Puts grants in force; older ones are ignored.
+    /// Applies grants; older ones are ignored.
     pub fn install_grants(&mut self, grants: &plan::HostGrants) {
         if grants.sequence > self.grants.sequence {
             self.grants = grants.clone();
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Admits a request, holds it, or refuses it on its arrival.
+    /// Admits, queues or refuses a request on arrival.
     pub fn admit(&mut self, facts: &RequestFacts<'_>, now: timer::Moment) -> AdmitDecision {
         let Some(service) = self.services.get(facts.service) else {
             return AdmitDecision::Refused(self.unknown_service());
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Whether not even the fastest answer would come in time.
+    /// Whether even the fastest answer would miss the deadline.
     fn is_too_late(&self, class: &ClassChoice, entry: &WaitEntry, now: timer::Moment) -> bool {
         let time_left = entry.deadline.since(now);
         let fastest = self
@@ -269,15 +270,15 @@
         time_left == 0 || (time_left as f64) < fastest
     }
 
-    /// Gives no new work to the named backend servers, and lifts that from all others.
+    /// Marks exactly these backend servers as leaving: they get no new requests.
     pub fn set_leaving_servers(&mut self, names: &[String]) {
         for ((name, _), health) in self.servers.iter_mut() {
             health.set_leaving(names.contains(name));
         }
     }
 
-    /// The server of an admission says itself that it leaves: it gets no new work from here on.
-    /// Returns its name, for the other workers and hosts.
+    /// Marks an admission's server as leaving because it announced its shutdown. Returns its name
+    /// if it was not marked before, for the other workers and hosts.
     pub fn mark_leaving(&mut self, admission: &RequestAdmission) -> Option<String> {
         let health = self.servers.get_mut(admission.server.slot)?;
         if health.is_leaving() {
--- a/src/steering/order.rs
+++ b/src/steering/order.rs
@@ -1,4 +1,4 @@
-//! The order in which places are tried.
+//! Ranks the places that may serve a request.
 
 use super::compile::{PlaceChoice, ServiceChoice};
 use super::unit::UnitCounter;
@@ -7,15 +7,16 @@
 use crate::slot_table::{SlotIndex, SlotTable};
 use crate::topology::RegionId;
 
-/// A place that may serve a request, with the route that it needs a unit of.
+/// A place that may serve a request, with the route of which it needs a unit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OrderedPlace<'c> {
     pub(super) place: &'c PlaceChoice,
     pub(super) route: Option<SlotIndex>,
 }
 
-/// The places that may serve a request, best first: where a shift sends it, the own region, then
-/// the others by latency. Work that leaves its home region needs a unit of the route.
+/// The places that may serve a request, best first: the target region of a shift, then the own
+/// region, then the others by latency. A request that leaves its home region needs a unit of the
+/// route.
 pub(super) fn place_order<'c>(
     service: &'c ServiceChoice,
     block_hash: u64,
--- a/src/steering/placing.rs
+++ b/src/steering/placing.rs
@@ -1,4 +1,5 @@
-//! Finding a place with room and a server for a request, or holding or refusing it.
+//! Finds a place with a free unit and a server for a request; otherwise queues or refuses the
+//! request.
 
 use rand::Rng as _;
 
@@ -16,13 +17,13 @@
 use crate::slot_table::{SlotIndex, SlotTable};
 use crate::timer;
 
-/// The longest that a request is expected to wait when it is held.
+/// Longest expected wait of a request that is queued.
 const MAX_WAIT_MS: f64 = 1_000.0;
-/// The share of the time left that waiting and answering may be expected to take.
+/// Largest share of the remaining time that waiting and answering may be expected to take.
 const DEADLINE_SHARE: f64 = 0.8;
 
 impl SteeringRole {
-    /// Finds a place with room and a server for a request.
+    /// Finds a place with a free unit and a server for a request.
     pub(super) fn place(
         &mut self,
         name: &str,
@@ -63,8 +64,8 @@
         }
     }
 
-    /// A request without room waits if it is expected to get a unit and its answer in time;
-    /// otherwise it is refused now, with when to come back.
+    /// Queues a request if it is expected to get a unit and its answer in time; otherwise refuses
+    /// it now, with the time after which to retry.
     pub(super) fn hold_or_refuse(
         &mut self,
         name: &str,
@@ -126,7 +127,8 @@
         }
     }
 
-    /// A refusal is put down to what was full: the places that would have done, or the route.
+    /// Refuses a request and attributes the refusal to what was full: the eligible places, or the
+    /// route.
     fn refuse(&mut self, full: &[SlotIndex], answer_ms: f64, wait_ms: f64) -> RequestRefusal {
         let share_ms = answer_ms / full.len().max(1) as f64;
         for &slot in full {
@@ -164,7 +166,7 @@
     }
 }
 
-/// The admission of a request to a server, before its first attempt.
+/// The admission of a request at a server, before its first attempt.
 fn admission_to(
     service: &ServiceChoice,
     server: ChosenServer,
@@ -188,8 +190,8 @@
     }
 }
 
-/// What keeps a request out of the places that are nearest to it: each full place without a route,
-/// or else the full parts of the first one with a route.
+/// What blocks a request at its nearest places: each full place without a route; if there is none,
+/// the full place and route of the first place.
 fn full_slots(
     order: &[OrderedPlace<'_>],
     units: &SlotTable<PlaceKey, UnitCounter>,
@@ -208,12 +210,12 @@
     parts.filter(is_full).collect()
 }
 
-/// What came of looking for a place.
+/// The result of the search for a place.
 pub(super) enum PlaceOutcome {
     Admitted(RequestAdmission),
-    /// Servers there are, but no units.
+    /// There are servers, but no free units.
     NoRoom,
-    /// No server may be chosen at all.
+    /// No server can be selected.
     NoServer,
 }
 
--- a/src/steering/request.rs
+++ b/src/steering/request.rs
@@ -1,4 +1,4 @@
-//! What steering is asked and what it answers.
+//! Requests to the steering role, and its decisions.
 
 use std::net;
 
@@ -7,33 +7,33 @@
 use crate::timer;
 use crate::topology::{HallId, RegionId, ServiceId};
 
-/// What steering must know of a request.
+/// The properties of a request on which steering decides.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestFacts<'r> {
     /// The service's name.
     pub service: &'r str,
     /// The class's name.
     pub class: &'r str,
-    /// The region that the caller is near, if its block is known.
+    /// The caller's home region, if its block is known.
     pub home: Option<RegionId>,
-    /// A hash that stays the same for the caller's block.
+    /// A stable hash of the caller's block.
     pub block_hash: u64,
-    /// Time left until the deadline, in milliseconds; `None` takes the class's own.
+    /// Time left until the deadline, in milliseconds; `None` selects the deadline of the class.
     pub time_left_ms: Option<u64>,
 }
 
-/// An admitted request. It must be given back by [`super::SteeringRole::finish`].
+/// An admitted request. Its units must be released with [`super::SteeringRole::finish`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestAdmission {
     /// The service.
     pub service: ServiceId,
-    /// The chosen backend server.
+    /// The selected backend server.
     pub server: ChosenServer,
-    /// When the request must be answered.
+    /// The deadline of the answer.
     pub deadline: timer::Moment,
-    /// Whether it may be sent twice.
+    /// Whether the request may be sent more than once.
     pub repeatable: bool,
-    /// The hall, by name, for the caller and the logs.
+    /// The hall, reported to the caller and in logs.
     pub hall: HallId,
     pub(super) place: SlotIndex,
     pub(super) route: Option<SlotIndex>,
@@ -43,47 +43,47 @@
     pub(super) started: timer::Moment,
 }
 
-/// A backend server that was chosen.
+/// A selected backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChosenServer {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: net::SocketAddr,
     pub(super) slot: SlotIndex,
 }
 
-/// A request that was not admitted; it was not run.
+/// A refusal; the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestRefusal {
-    /// Why.
+    /// The reason.
     pub code: ResultCode,
-    /// When to come back, in milliseconds; `None` where the same request can't succeed.
+    /// When to retry, in milliseconds; `None` if the same request can't succeed.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Picks a request that waits for a unit.
+/// Identifies a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaitTicket(pub u64);
 
-/// What steering says to a request on its arrival.
+/// The decision about a request on arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdmitDecision {
-    /// Send it now.
+    /// Send the request now.
     Admitted(RequestAdmission),
-    /// It waits for a unit, which it is expected to get in time.
+    /// The request waits for a unit, which it is expected to get in time.
     Waiting(WaitTicket),
-    /// It is refused now.
+    /// The request is refused.
     Refused(RequestRefusal),
 }
 
-/// How an attempt at a server ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// It answered below 500.
+    /// The server answered with a status below 500.
     Success,
-    /// It answered 500 or above, or not at all.
+    /// The server answered with a status of 500 or above, or not at all.
     Failure,
-    /// It said that it did not run the request.
+    /// The server stated that it did not run the request.
     Shed,
-    /// The caller went away; says nothing about the server.
+    /// The caller disconnected; this says nothing about the server.
     Abandoned,
 }
--- a/src/steering/unit.rs
+++ b/src/steering/unit.rs
@@ -1,6 +1,6 @@
-//! How one worker uses its slice of a grant.
+//! Counts how one worker uses its slice of a grant.
 
-/// Use of a place or route by this worker.
+/// Usage of a place or route by this worker.
 #[derive(Debug, Default)]
 pub(super) struct UnitCounter {
     pub(super) grant: u32,
@@ -10,7 +10,7 @@
     pub(super) refused_ms: f64,
     /// This place's share of the waiting requests.
     pub(super) waiting: f64,
-    /// How long answers of the place take, in milliseconds; 0 before the first.
+    /// Average answer time of the place, in milliseconds; 0 before the first answer.
     pub(super) answer_ms: f64,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// How long a class's answers take, in milliseconds.
+/// Answer times of a class, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AnswerEstimate {
     pub(super) answer_ms: f64,
@@ -45,16 +45,17 @@
 }
 
 impl AnswerEstimate {
-    /// What is assumed of a class that was never answered.
+    /// The estimate before the first answer.
     pub(super) const FIRST: Self = Self {
         answer_ms: 20.0,
         fastest_ms: 0.0,
     };
     const AVERAGE_WEIGHT: f64 = 0.1;
-    /// The fastest answer seen is forgotten at this rate, should the class have become slower.
+    /// The fastest time grows by this factor with each answer, so that it adapts if the class has
+    /// become slower.
     const FASTEST_DRIFT: f64 = 1.01;
 
-    /// An answer came after so many milliseconds.
+    /// Records an answer time.
     pub(super) fn note(&mut self, answer_ms: f64) {
         self.answer_ms += Self::AVERAGE_WEIGHT * (answer_ms - self.answer_ms);
         self.fastest_ms = if self.fastest_ms == 0.0 {
--- a/src/steering/waiting.rs
+++ b/src/steering/waiting.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for a unit: placed when one comes free, refused when it comes too late.
+//! Serves the queues: places a waiting request when a unit becomes free, and refuses it when its
+//! deadline can't be met any more.
 
 use std::collections;
 
@@ -6,11 +7,11 @@
 use super::{SteeringRole, WaitEnd, WaitTicket};
 use crate::timer;
 
-/// Waiting requests that are tried when a unit comes free.
+/// After this many waiting requests that can't be placed, the scan of a queue stops.
 const TRIED_WAITERS: usize = 8;
 
 impl SteeringRole {
-    /// Requests whose waiting has ended, after units came free or time passed.
+    /// Returns the requests whose wait ended, after units became free or time passed.
     pub fn take_ready(&mut self, now: timer::Moment) -> Vec<WaitEnd> {
         let names: Vec<String> = self
             .lines
@@ -26,7 +27,7 @@
         ends
     }
 
-    /// Waiting requests that can't be answered in time any more get that answer now.
+    /// Refuses waiting requests that can't be answered in time any more.
     fn refuse_late(&mut self, name: &str, now: timer::Moment, ends: &mut Vec<WaitEnd>) {
         let Some(mut line) = self.lines.remove(name) else {
             return;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The caller of a waiting request has gone away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn cancel_wait(&mut self, ticket: WaitTicket) {
         for line in self.lines.values_mut() {
             if line.remove(ticket) {
