--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -1,4 +1,4 @@
-//! Finds the owner of a claim's shard and passes claims and outcomes to it.
+//! Finds the owner of a claim's shard and forwards claims and their outcomes to it.
 
 use std::net;
 
@@ -13,14 +13,14 @@
 use crate::platform_call::{ObjectName, PlatformCall};
 use crate::timer::Moment;
 
-/// Tickets that the controller makes itself start here; those of the daemon lie below.
+/// Tickets that the controller assigns itself start here; tickets of the daemon are lower.
 pub(super) const FIRST_OWN_TICKET: u64 = 1 << 48;
-/// Come-back time after a claim that its owner did not answer.
+/// Retry time after a claim that its owner did not answer.
 const OWNER_RETRY_MS: u64 = 500;
-/// Claims that may wait for their owners.
+/// Claims that may wait for answers of their owners.
 const MAX_OWNER_CLAIMS: usize = 4_096;
 
-/// A worker's claim that was passed to the owner of its shard.
+/// A worker's claim that was forwarded to the owner of its shard.
 #[derive(Debug)]
 pub(super) struct OwnerClaim {
     worker_ticket: u64,
@@ -29,13 +29,14 @@
     deadline: Moment,
 }
 
-/// The weight of a host for a shard; the highest owns it (Thaler and Ravishankar, 1998).
+/// The rendezvous weight of a host for a shard; the host with the highest weight owns the shard
+/// (Thaler and Ravishankar, 1998).
 pub(super) fn rendezvous_weight(shard: u16, host: &str) -> u64 {
     xxh3::xxh3_64_with_seed(host.as_bytes(), u64::from(shard) + 1)
 }
 
 impl HostController {
-    /// The control address of the shard's owner; `None` when that is this host.
+    /// The control address of the shard's owner; `None` if this host owns it.
     fn shard_owner(&self, shard: u16) -> Option<net::SocketAddr> {
         let offered = self.membership.offered();
         let owner = offered
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Nothing was sent to a server, and nothing will be: the key is given back if it was taken.
+    /// Ends a claim that its owner did not decide. Nothing was sent to a server and nothing will
+    /// be, so the key is released in case the owner did grant it.
     fn give_up_claim(&mut self, claim: &OwnerClaim, now: Moment) {
         let decision = ClaimDecision::Unavailable(OWNER_RETRY_MS);
         self.answer(claim.worker_ticket, ControlAnswer::Claim(decision));
--- a/src/controller/configuration.rs
+++ b/src/controller/configuration.rs
@@ -1,4 +1,4 @@
-//! Puts configurations in force on the workers, and answers operators.
+//! Applies configurations to the workers and answers operators.
 
 use std::sync;
 
--- a/src/controller/grants.rs
+++ b/src/controller/grants.rs
@@ -1,4 +1,4 @@
-//! Reports to the planner, and the grants that come back.
+//! Sends reports to the planner and applies the grants that it answers with.
 
 use super::HostController;
 use crate::control_message::{ControlAction, WorkerUsage};
@@ -70,7 +70,8 @@
         self.actions.push(ControlAction::InstallGrants(grants));
     }
 
-    /// A worker's counts add up until the next report; what it uses now replaces what it used.
+    /// Merges a worker's usage. Counters add up until the next report; the number of units in use
+    /// replaces the previous one.
     pub(super) fn on_usage(&mut self, usage: WorkerUsage, now: Moment) {
         let Some(worker) = self.workers.get_mut(usage.worker) else {
             return;
@@ -98,7 +99,7 @@
     }
 }
 
-/// A report's counts start anew; its load goes on, since it is an average.
+/// Resets the counters after a report. The load stays, since it is an average.
 fn clear_counts(usage: &mut Vec<PlaceUsage>) {
     for entry in usage.iter_mut() {
         entry.completed = 0;
@@ -107,7 +108,7 @@
     usage.retain(|entry| entry.in_use > 0 || entry.load_milli > 0);
 }
 
-/// The average load after one more sample; it reaches zero.
+/// The average load after one more sample. Integer division makes it reach zero.
 const fn smoothed(before: u32, sample: u32) -> u32 {
     (before.saturating_mul(3).saturating_add(sample)) / 4
 }
--- a/src/controller/leaving.rs
+++ b/src/controller/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving: of this host, of backend servers, and the time that drains take.
+//! Tracks the shutdown of this host, leaving backend servers, and the duration of drains.
 
 use std::sync;
 
@@ -23,8 +23,8 @@
         self.stopping.is_some() || drained || self.roster.is_leaving(name)
     }
 
-    /// A leaving host keeps its units while callers may still come by their kept look-ups; after
-    /// that it gives them back.
+    /// Whether a leaving host releases its units. It keeps them while callers may still arrive
+    /// through cached look-ups.
     pub(super) fn gives_units_back(&self, now: Moment) -> bool {
         self.leaving_since
             .is_some_and(|since| now.since(since) >= LEAVE_GRACE_MS)
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A drain is timed from its installation here until nothing runs on what is drained.
+    /// Starts the timer of a drain, which ends when nothing runs on the drained servers any more.
     pub(super) fn start_drain_clock(&mut self, topology: &SteeringTopology) {
         let before = self
             .topology
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,7 +1,7 @@
-//! The controller of one host: the control roles put together, without clock, socket or thread.
+//! The controller of one host. It combines the control roles, without clock, socket or thread.
 //!
-//! Memory: that of its roles, one entry for each worker, at most [`MAX_LEAVING`] leaving servers
-//! and one entry for each claim that waits for its owner.
+//! Memory: that of its roles, one entry for each worker, at most [`MAX_LEAVING_SERVERS`] leaving
+//! servers and one entry for each claim that waits for its owner.
 
 mod claims;
 mod configuration;
@@ -31,28 +31,29 @@
 
 /// Leaving servers that are remembered.
 pub const MAX_LEAVING: usize = 1_000;
-/// A leaving server that was not heard of again for this long may serve again.
+/// A leaving server may serve again if it was not reported as leaving for this long.
 const LEAVING_LIFE_MS: u64 = 60_000;
-/// Leaving servers on one heartbeat.
+/// Leaving servers in one heartbeat.
 const LEAVING_PER_HEARTBEAT: usize = 16;
-/// Time between two reports to the planner.
+/// Interval of reports to the planner.
 const REPORT_MS: u64 = 500;
-/// Time between two reads of the platform's host list.
+/// Interval of reads of the platform's host list.
 const HOSTS_MS: u64 = 2_000;
-/// The same for a host that neither plans nor watches for its hall: what matters of the list
-/// reaches it by heartbeats.
+/// The same interval on a host that is neither the planner nor its hall's watcher. Such a host
+/// learns relevant changes by heartbeats.
 const HOSTS_IDLE_MS: u64 = 20_000;
-/// Pause after a failed watch.
+/// Delay after a failed watch.
 const WATCH_RETRY_MS: u64 = 500;
-/// A leaving host keeps serving for this long, until look-ups have stopped naming it: their time
-/// to live and the spread of its leaving.
+/// A leaving host keeps serving for this long, until look-ups no longer name it. This covers the
+/// lifetime of look-up answers and the time in which its leaving spreads.
 pub const LEAVE_GRACE_MS: u64 = 3_500;
-/// Then it has this long to give its units back, so that nobody waits for the platform's list.
+/// After that it has this long to release its units, so that nobody has to wait for the platform's
+/// list.
 const GIVE_BACK_MS: u64 = 2_000;
-/// A stop that takes longer than this raises an alarm; nothing is cut.
+/// A stop that takes longer than this raises an alarm; no request is cut off.
 const STOP_ALARM_MS: u64 = 60_000;
 
-/// What a controller must know of its host.
+/// The settings of a controller.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
     /// The host's own record.
@@ -108,7 +109,7 @@
 }
 
 impl HostController {
-    /// A host that knows nothing yet.
+    /// A controller without configuration, plan or known peers.
     #[must_use]
     pub fn new(settings: &ControlSettings, now: Moment) -> Self {
         let me = settings.me.clone();
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Takes one input and returns what is to be done, in order.
+    /// Handles one input and returns the actions to carry out, in order.
     pub fn handle(
         &mut self,
         input: ControlInput,
@@ -276,7 +277,8 @@
         self.run_planner(action);
     }
 
-    /// Candidates are ordered by a hash of their names; a leaving or cut off host is none.
+    /// The host's rank among the candidates, which are ordered by a hash of their names; `None` if
+    /// it is leaving or cut off.
     fn planner_rank(&self, now: Moment) -> Option<u64> {
         if self.is_leaving() || self.membership.is_cut_off(now) {
             return None;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what is told to peers and learned from them.
+//! Sends heartbeats to peers and applies theirs.
 
 use super::{HostController, LEAVING_LIFE_MS, LEAVING_PER_HEARTBEAT};
 use crate::control_message::{ControlAction, ControlAnswer, LeavingServer, PeerHeartbeat};
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -1,4 +1,4 @@
-//! What comes from the platform: replies, the watch, the host list.
+//! Handles messages of the platform: replies, the watch and the host list.
 
 use std::net;
 
@@ -88,7 +88,8 @@
         self.run_planner(action);
     }
 
-    /// One host of each hall watches for the others, so that watches grow with halls.
+    /// Starts a watch if this host is the watcher of its hall. One host of each hall watches, so
+    /// that the number of watches grows with halls and not with hosts.
     pub(super) fn start_watch(&mut self, now: Moment) {
         if self.watch.running || now < self.watch.retry_at || !self.is_hall_watcher() {
             return;
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,4 +1,4 @@
-//! The state of the host as shown to operators.
+//! The status of the host for operators.
 
 use super::HostController;
 use crate::control_message::{HostStatus, PlaceStatus};
