--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -1,4 +1,5 @@
-//! The next plan, computed from the committed one and what hosts reported. Pure.
+//! Computes the next plan from the committed one and the reports of hosts, without side effects
+//! outside its arguments.
 
 use std::collections;
 
@@ -6,7 +7,7 @@
 use crate::timer;
 use crate::{allocation, budget, member, plan, ramp, report, roster, topology};
 
-/// Computes the next plan from the committed one and what hosts reported.
+/// Computes the next plan.
 pub(super) fn draft_plan(
     me: &member::HostIdentity,
     leader: &mut LeaderState,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Adds reporting hosts, notes who is listed, and releases what gone hosts held.
+/// Adds reporting hosts, records which hosts are listed, and releases the units of removed hosts.
 fn update_hosts(
     draft: &mut plan::SteeringPlan,
     reports: &collections::HashMap<String, StoredReport>,
@@ -97,7 +98,8 @@
         .is_some_and(|stored| stored.report.identity == host.identity)
 }
 
-/// A later run that listens on the same address proves the earlier one gone.
+/// Whether a later incarnation of the host listens on the same address, which proves that this one
+/// has ended.
 fn is_superseded(host: &plan::PlanHost, known: &[plan::PlanHost]) -> bool {
     known.iter().any(|other| {
         other.identity.name == host.identity.name
@@ -235,7 +237,7 @@
     }
 }
 
-/// Lowers first, then raises from what is free.
+/// Adjusts the grants of a place: lowers first, then raises from the free units.
 fn rebalance(
     budget: &mut budget::PlaceBudget,
     reports: &collections::HashMap<String, StoredReport>,
@@ -272,7 +274,7 @@
     }
 }
 
-/// Units that hosts hold which do not take part: silent, leaving or of an earlier run.
+/// Units held by hosts that don't participate: silent or leaving ones, and earlier incarnations.
 fn silent_units(place: &budget::PlaceBudget, hosts: &[&report::HostReport]) -> u32 {
     let takes_part =
         |identity: &member::HostIdentity| hosts.iter().any(|host| host.identity == *identity);
@@ -283,7 +285,7 @@
     budget::total(others.map(|entry| entry.held))
 }
 
-/// A leaving host that still reports gives its units back.
+/// Lowers the grants of leaving hosts that still report to zero.
 fn lower_others(
     budget: &mut budget::PlaceBudget,
     reports: &collections::HashMap<String, StoredReport>,
@@ -294,7 +296,7 @@
     }
 }
 
-/// Units move only when that helps: someone lacks its share, or the limit changed.
+/// Whether to move units: only if a host has too few, units are free or the limit was lowered.
 fn is_rebalance_due(
     budget: &budget::PlaceBudget,
     hosts: &[&report::HostReport],
@@ -310,7 +312,7 @@
     })
 }
 
-/// Whether a host stands in the region of a hall, or at either end of a route.
+/// Whether a host is in the region of a hall, or in a region at either end of a route.
 fn is_near(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
     let region_name = |hall: &str| {
         let region = topology
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -1,12 +1,12 @@
-//! The planner role: one entry host at a time splits the budgets.
+//! The planner role: one entry host at a time splits the budgets over the hosts.
 //!
-//! Who plans is decided by the plan object itself: every write is conditional on its version and
-//! raises its sequence, which serves as the heartbeat of the lease. A planner that wakes late
-//! fails its next write and steps down. Grants are published only after the write that made them
-//! is known to have taken effect.
+//! The plan object itself decides which host plans. Every write is conditional on the object's
+//! version and increases its sequence, which renews the lease. A planner that was suspended past
+//! its lease fails its next write and steps down. Grants are published only after the write that
+//! contains them is known to be stored.
 //!
 //! Memory: one budget for each place with one entry for each host that holds units, and one report
-//! for each host heard in the last [`REPORT_LIFE_MS`].
+//! for each host that reported within [`REPORT_MAX_AGE_MS`].
 
 mod draft;
 
@@ -14,35 +14,35 @@
 
 use crate::{budget, member, plan, platform_call, ramp, report, roster, timer, topology};
 
-/// A follower takes over when the sequence has stood still for this long.
+/// A follower takes over if the sequence has not changed for this long.
 pub const LEASE_MS: u64 = 4_000;
-/// Each further candidate in the order waits this much longer.
+/// Additional wait of each further candidate, by rank.
 const CANDIDATE_STEP_MS: u64 = 1_000;
-/// The planner writes at least this often, which renews its lease.
+/// The planner writes at least this often to renew its lease.
 const RENEW_MS: u64 = 1_000;
-/// Time between two looks at loads.
+/// Interval of rebalancing.
 const REBALANCE_MS: u64 = 500;
-/// A host whose last report is older takes part in no new grants.
+/// A host whose last report is older gets no new grants.
 pub const REPORT_LIFE_MS: u64 = 3_000;
-/// How long a load counts after it was reported.
+/// A reported load expires after this long.
 const LOAD_LIFE_MS: u64 = 5_000;
-/// Units move when a host's target lies above its grant by this part of it, and by one at least.
+/// Units move if a host's target exceeds its grant by more than this fraction of the grant.
 const MOVE_DIVISOR: u32 = 8;
-/// One part in so many of a load's average is replaced by each report: about four seconds.
+/// Each report replaces this fraction of the average load: about four seconds.
 const AVERAGE_DIVISOR: u64 = 8;
 
-/// What the planner knows of the world at a tick.
+/// The planner's inputs at a tick.
 #[derive(Debug)]
 pub struct PlannerView<'v> {
-    /// The configuration in force here.
+    /// The configuration that is active on this host.
     pub topology: &'v topology::SteeringTopology,
     /// The platform's host list.
     pub roster: &'v roster::HostRoster,
-    /// This host's place in the order of candidates, 0 first; `None` when it may not plan.
+    /// This host's rank among the candidates, from 0; `None` if it must not plan.
     pub rank: Option<u64>,
 }
 
-/// A call that the role wants made to the platform.
+/// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannerAction {
     /// Read the plan object.
@@ -51,7 +51,7 @@
     Write {
         /// The new content.
         bytes: Vec<u8>,
-        /// The version to replace; `None` when there must be no object.
+        /// The version to replace; `None` if no object may exist.
         expected: Option<u64>,
     },
 }
@@ -85,7 +85,7 @@
         draft: Box<plan::SteeringPlan>,
         leader: Option<Box<LeaderState>>,
     },
-    /// A write's answer was lost; the object is being read back.
+    /// The answer to a write was lost; the object is being read back.
     Checking {
         draft: Box<plan::SteeringPlan>,
         leader: Option<Box<LeaderState>>,
@@ -108,7 +108,7 @@
 }
 
 impl PlannerRole {
-    /// A follower that has seen nothing yet.
+    /// A follower without a known plan.
     #[must_use]
     pub fn new(me: member::HostIdentity, now: timer::Moment) -> Self {
         Self {
@@ -124,25 +124,25 @@
         }
     }
 
-    /// The planner as far as this host knows.
+    /// The current planner, as far as this host knows.
     #[must_use]
     pub const fn holder(&self) -> Option<&member::HostIdentity> {
         self.seen_holder.as_ref()
     }
 
-    /// The newest plan sequence known.
+    /// The newest known plan sequence.
     #[must_use]
     pub const fn sequence(&self) -> u64 {
         self.seen_sequence
     }
 
-    /// Whether this host plans.
+    /// Whether this host is the planner.
     #[must_use]
     pub const fn is_leader(&self) -> bool {
         self.committed().is_some()
     }
 
-    /// The plan last known to be stored, on the planner only.
+    /// The last plan that is known to be stored; only on the planner.
     #[must_use]
     pub const fn committed(&self) -> Option<&plan::SteeringPlan> {
         match &self.state {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Learns from anywhere that `holder` wrote plan `sequence`.
+    /// Records that `holder` wrote plan `sequence`, whatever the source of this information.
     pub fn observe(&mut self, sequence: u64, holder: &member::HostIdentity, now: timer::Moment) {
         if sequence > self.seen_sequence {
             self.seen_sequence = sequence;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Takes a host's report; the planner answers with the host's grants.
+    /// Records a host's report. The planner returns the host's grants.
     pub fn on_report(
         &mut self,
         report: report::HostReport,
@@ -204,7 +204,7 @@
         load.heard = now;
     }
 
-    /// Lets time pass.
+    /// Expires old reports and returns the next call to the platform, if one is due.
     pub fn tick(&mut self, view: &PlannerView<'_>, now: timer::Moment) -> Option<PlannerAction> {
         self.forget_old(now);
         if let PlannerState::Leader(_) = self.state {
@@ -282,7 +282,7 @@
         Some(PlannerAction::Write { bytes, expected })
     }
 
-    /// The plan object was read, after a read that this role asked for.
+    /// Handles the result of a read of the plan object.
     pub fn on_read(
         &mut self,
         result: &platform_call::ReadResult,
@@ -342,7 +342,7 @@
         Some(PlannerAction::Write { bytes, expected })
     }
 
-    /// A write that this role asked for has ended.
+    /// Handles the result of a write.
     pub fn on_write(
         &mut self,
         result: platform_call::WriteResult,
@@ -369,7 +369,7 @@
         }
     }
 
-    /// Decides by the object itself whether a write whose answer was lost took effect.
+    /// Reads from the stored object whether a write whose answer was lost took effect.
     fn check_write(
         &mut self,
         result: &platform_call::ReadResult,
@@ -413,14 +413,15 @@
     }
 }
 
-/// The average load after one more report. It is slow on purpose: units on their way from one host to
-/// another are nobody's, so a split that follows every fluctuation wastes what it moves.
+/// The average load after one more report. It changes slowly on purpose: units that move from one
+/// host to another are usable by neither, so a split that follows every fluctuation wastes them.
 fn averaged(before: u32, report: u32) -> u32 {
     let sum = u64::from(before) * (AVERAGE_DIVISOR - 1) + u64::from(report);
     u32::try_from(sum / AVERAGE_DIVISOR).unwrap_or(u32::MAX)
 }
 
-/// A new planner takes the ramps up where the plan has them and grows nothing for a whole step.
+/// The state of a new planner. It continues the ramps at the plan's limits and grows none of them
+/// for a whole step.
 fn fresh_leader(draft: &plan::SteeringPlan, now: timer::Moment) -> LeaderState {
     let routes = draft
         .budgets
