--- a/src/block_map.rs
+++ b/src/block_map.rs
@@ -1,9 +1,9 @@
-//! Which hall each client block belongs to: longest prefix, weighted by hall, least movement.
+//! Maps each client block to a hall: longest prefix, weighted by hall, with few reassignments.
 //!
-//! A host computes the map from the declaration; nothing of it goes over the wire. The hall of a
-//! block is chosen among the halls of its region by weighted rendezvous hashing (Thaler and
-//! Ravishankar, 1998), so that a change of one hall's weight moves only the blocks that it gains
-//! or loses.
+//! Each host computes the map from the declaration; it is never sent over the network. The hall of
+//! a block is selected among the halls of its region by weighted rendezvous hashing (Thaler and
+//! Ravishankar, 1998), so that a change of one hall's weight moves only the blocks that it gains or
+//! loses.
 
 use std::net;
 
@@ -15,10 +15,10 @@
 
 const NO_HALL: u16 = u16::MAX;
 
-/// Where an address belongs.
+/// The place of an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BlockPlace {
-    /// The hall that its block is assigned to.
+    /// The hall to which its block is assigned.
     pub hall: topology::HallId,
     /// A hash of the block, the same for all its addresses and on all hosts.
     pub hash: u64,
@@ -73,7 +73,7 @@
 }
 
 impl BlockMap {
-    /// Computes the map; the declaration's prefixes are disjoint by its check.
+    /// Computes the map. The declaration was checked, so its prefixes are disjoint.
     ///
     /// ```
     /// use std::sync;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The place of an address; `None` when no block covers it.
+    /// The place of an address; `None` if no block covers it.
     #[must_use]
     pub fn find(&self, address: net::IpAddr) -> Option<BlockPlace> {
         match address.to_canonical() {
@@ -149,13 +149,13 @@
         }
     }
 
-    /// How many client blocks it holds.
+    /// The number of client blocks.
     #[must_use]
     pub const fn block_count(&self) -> usize {
         self.block_count
     }
 
-    /// Bytes of its tables.
+    /// Memory used by the tables, in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let v4 = self.v4.starts.capacity() * size_of::<u32>()
@@ -186,7 +186,7 @@
     xxh3::xxh3_64(&start.to_le_bytes())
 }
 
-/// The highest weighted score wins; a score depends on the block and that hall alone.
+/// Selects the hall with the highest score. A score depends only on the block and that hall.
 fn choose_hall(block: u64, halls: &[WeightedHall]) -> u16 {
     let mut best = NO_HALL;
     let mut best_score = f64::NEG_INFINITY;
@@ -200,7 +200,7 @@
     best
 }
 
-/// `-weight / ln(u)` for a uniform `u` in (0, 1) drawn from both hashes.
+/// `-weight / ln(u)` for a uniform `u` in (0, 1), derived from both hashes.
 fn rendezvous_score(block: u64, seed: u64, weight: f64) -> f64 {
     const UNIT: f64 = 1.0 / (1_u64 << 53) as f64;
     let mixed = hash::mix(block ^ seed);
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,27 +1,27 @@
-//! What a worker sees of a backend server: answers, failures and load. What it sees itself
-//! outweighs what the server claims.
+//! One worker's view of a backend server: answer times, failures and load. The worker's own
+//! observations outweigh the load that the server reports.
 
 use crate::timer;
 
 /// Weight of the newest answer in the moving averages.
 const AVERAGE_WEIGHT: f64 = 0.2;
-/// A claim of load that is older counts for nothing.
+/// A reported load that is older is ignored.
 const CLAIM_LIFE_MS: u64 = 2_000;
-/// Failure average above which a server is ejected.
+/// A server is ejected when its average failure rate exceeds this.
 const EJECT_FAILURES: f64 = 0.5;
-/// First ejection; each further one in a row doubles it.
+/// Duration of the first ejection; each further one in a row doubles it.
 const EJECT_MS: u64 = 2_000;
 const MAX_EJECT_DOUBLINGS: u32 = 4;
-/// A new server, or one back from ejection, gets its full share after this long.
+/// Duration of the slow start of a new server, or of one back from ejection.
 const SLOW_START_MS: u64 = 10_000;
 const SLOW_START_FLOOR: f64 = 0.1;
 
-/// The load that a server claims in its answers.
+/// The load that a server reports in its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadClaim {
-    /// Requests that it runs.
+    /// Requests that the server runs.
     pub in_use: u32,
-    /// When that was received.
+    /// When the report was received.
     pub at: timer::Moment,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl ServerHealth {
-    /// A server that was not used before; `cold` starts it slowly.
+    /// A server that was not used before; `cold` begins a slow start.
     #[must_use]
     pub const fn new(now: timer::Moment, cold: bool) -> Self {
         let warm_from = if cold { now } else { timer::Moment(0) };
@@ -56,23 +56,23 @@
         }
     }
 
-    /// Requests of this worker at the server.
+    /// Requests of this worker in flight at the server.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// A request is sent to it.
+    /// Records that a request is sent to the server.
     pub const fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A request has left it, however it ended.
+    /// Records that a request ended, whatever its result.
     pub const fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// It answered well after `answer_ms`.
+    /// Records a successful answer after `answer_ms`.
     pub fn on_success(&mut self, answer_ms: u64) {
         let answer_ms = answer_ms as f64;
         let before = self.answer_ms.unwrap_or(answer_ms);
@@ -83,7 +83,8 @@
         }
     }
 
-    /// It failed: an error, a broken connection or no answer in time.
+    /// Records a failure: an error, a broken connection or a timeout. Ejects the server if it fails
+    /// too often.
     pub fn on_failure(&mut self, now: timer::Moment) {
         self.failures += AVERAGE_WEIGHT * (1.0 - self.failures);
         if self.failures > EJECT_FAILURES && !self.is_ejected(now) {
@@ -96,30 +97,30 @@
         }
     }
 
-    /// It claims a load.
+    /// Records a load that the server reported.
     pub const fn on_claim(&mut self, claim: LoadClaim) {
         self.claim = Some(claim);
     }
 
-    /// Whether it is known to leave, and gets no new work.
+    /// Whether the server is leaving and gets no new requests.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Marks it as leaving, or takes the mark back.
+    /// Sets or clears the leaving mark.
     pub const fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Whether it is left out for now.
+    /// Whether the server is currently ejected.
     #[must_use]
     pub fn is_ejected(&self, now: timer::Moment) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// The expected cost of one more request; lower is better. A server that never answered is
-    /// taken for a `typical_ms` one, so that it draws neither everything nor nothing.
+    /// The expected cost of one more request; lower is better. A server without an answer is rated
+    /// with `typical_ms`, so that it gets neither all requests nor none.
     #[must_use]
     pub fn cost(&self, slots: u32, typical_ms: f64, now: timer::Moment) -> f64 {
         let claimed = self
--- a/src/lookup.rs
+++ b/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The answer to "which entry hosts shall I use?", rendered before it is asked for.
+//! Look-up answers: which entry hosts a caller should use. All answers are rendered in advance.
 
 use std::{collections, net, sync};
 
@@ -8,12 +8,12 @@
 
 use crate::{block_map, declaration, member, topology};
 
-/// How long a caller may keep an answer, in milliseconds: short, since leaving hosts must stop
-/// being used within seconds.
+/// How long a caller may cache an answer, in milliseconds. It is short, because leaving hosts must
+/// stop being used within seconds.
 pub const LOOKUP_TTL_MS: u64 = 2_000;
-/// Hosts named in one answer.
+/// Maximum number of hosts in one answer.
 const RANKED_HOSTS: usize = 4;
-/// Different orders of equally near hosts, so that blocks spread over them.
+/// Number of different orders of equally near hosts, which spread the blocks over them.
 const VARIANTS: usize = 8;
 
 /// One entry host in an answer.
@@ -21,24 +21,24 @@
 pub struct RankedHost {
     /// Its name.
     pub name: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub address: net::SocketAddr,
-    /// The hall that it stands in.
+    /// The hall of the host.
     pub hall: String,
 }
 
 /// The answer to a look-up.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LookupAnswer {
-    /// The service asked for.
+    /// The requested service.
     pub service: String,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the answer may be cached, in milliseconds.
     pub ttl_ms: u64,
     /// Entry hosts, best first.
     pub hosts: Vec<RankedHost>,
 }
 
-/// Answers by service, hall and variant, with the block map that picks among them.
+/// Rendered answers by service, hall and variant, with the block map that selects among them.
 #[derive(Debug, Default)]
 pub struct LookupTable {
     map: sync::Arc<block_map::BlockMap>,
@@ -52,19 +52,19 @@
 pub enum LookupFault {
     /// The service is not declared.
     ServiceUnknown,
-    /// No entry host can be offered.
+    /// No entry host is available.
     NoHost,
 }
 
 impl LookupTable {
-    /// Renders all answers for the hosts that may be offered.
+    /// Renders the answers for all services, halls and variants.
     #[must_use]
     pub fn new(topology: &topology::SteeringTopology, members: &[member::MemberRecord]) -> Self {
         let map = sync::Arc::new(block_map::BlockMap::from_topology(topology));
         Self::with_map(map, topology, members)
     }
 
-    /// Renders all answers over a map that is computed already.
+    /// Renders the answers over a block map that was already computed.
     #[must_use]
     pub fn with_map(
         map: sync::Arc<block_map::BlockMap>,
@@ -85,7 +85,7 @@
         table
     }
 
-    /// The block map, to render other answers over it.
+    /// The block map, to be reused for other tables.
     #[must_use]
     pub const fn map(&self) -> &sync::Arc<block_map::BlockMap> {
         &self.map
@@ -103,11 +103,11 @@
         }
     }
 
-    /// The rendered answer for a caller; `near` is the answering host's own hall, for callers
+    /// The rendered answer for a caller. `own_hall` is the hall of the answering host, for callers
     /// that no block covers.
     ///
     /// # Errors
-    /// [`LookupFault`] when the service is unknown or nobody can be offered.
+    /// [`LookupFault`] if the service is unknown or no host is available.
     pub fn find(
         &self,
         service: &str,
@@ -132,7 +132,7 @@
             .ok_or(LookupFault::NoHost)
     }
 
-    /// The block place of a caller.
+    /// The place of the caller's block.
     #[must_use]
     pub fn place_of(&self, caller: net::IpAddr) -> Option<block_map::BlockPlace> {
         self.map.find(caller)
@@ -144,7 +144,7 @@
         self.map.block_count()
     }
 
-    /// Bytes held by the map and the answers.
+    /// Memory used by the block map and the answers, in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let answers: usize = self.answers.iter().flatten().map(Bytes::len).sum();
@@ -184,7 +184,8 @@
     .collect()
 }
 
-/// Same hall first, then the same region, then other regions by latency; suspects last in each.
+/// Ranks hosts: the same hall first, then the same region, then other regions by latency. Suspect
+/// hosts come last.
 fn rank_hosts<'m>(
     topology: &topology::SteeringTopology,
     offered: &[OfferedHost<'m>],
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,9 +1,10 @@
-//! The retry budget of a service: retries are a share of successes, so they never multiply load.
+//! The retry budget of a service. Retries are limited to a share of the successes, so that they
+//! can't multiply load.
 
-/// Retries that may be saved up.
+/// Retries that may accumulate.
 const MAX_SAVED: f64 = 10.0;
 
-/// A bucket that successes fill and retries empty.
+/// A token bucket that successes fill and retries empty.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     share: f64,
@@ -11,7 +12,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that allows `share` retries for each success.
+    /// A budget that allows `share` retries for each success and starts with one.
     ///
     /// ```
     /// use ledgespool::retry;
@@ -24,17 +25,17 @@
         Self { share, saved: 1.0 }
     }
 
-    /// Changes the share, as a new declaration may.
+    /// Changes the share, after a new declaration.
     pub const fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// A request succeeded.
+    /// Records a successful request.
     pub fn on_success(&mut self) {
         self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry if one is available.
     pub fn try_retry(&mut self) -> bool {
         if self.share <= 0.0 || self.saved < 1.0 {
             return false;
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -1,4 +1,5 @@
-//! A declaration compiled for fast use: names become small indexes, places know their servers.
+//! A declaration compiled for fast access: names are replaced by indexes, and each place lists its
+//! servers.
 
 use std::{collections, net, sync};
 
@@ -21,34 +22,34 @@
 }
 
 index_type!(
-    /// Position of a service.
+    /// Index of a service.
     ServiceId
 );
 index_type!(
-    /// Position of a region.
+    /// Index of a region.
     RegionId
 );
 index_type!(
-    /// Position of a hall.
+    /// Index of a hall.
     HallId
 );
 index_type!(
-    /// Position of a backend server.
+    /// Index of a backend server.
     ServerId
 );
 
-/// A hall, compiled.
+/// A compiled hall.
 #[derive(Debug, Clone)]
 pub struct HallTopology {
     /// Its name.
     pub name: String,
     /// Its region.
     pub region: RegionId,
-    /// The most requests at once.
+    /// The largest number of concurrent requests.
     pub capacity: u32,
 }
 
-/// A backend server, compiled.
+/// A compiled backend server.
 #[derive(Debug, Clone)]
 pub struct ServerTopology {
     /// Its name.
@@ -57,13 +58,13 @@
     pub service: ServiceId,
     /// Its hall.
     pub hall: HallId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: net::SocketAddr,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// The number of connections that it accepts.
     pub connections: u32,
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub serving: bool,
 }
 
@@ -72,25 +73,25 @@
 pub struct ServicePlace {
     /// The hall.
     pub hall: HallId,
-    /// Its serving servers of this service.
+    /// The servers of this service in the hall that may get new requests.
     pub servers: Vec<ServerId>,
     /// The sum of their slots.
     pub slots: u32,
 }
 
-/// A service, compiled.
+/// A compiled service.
 #[derive(Debug, Clone)]
 pub struct ServiceTopology {
     /// The declared entry.
     pub entry: declaration::ServiceEntry,
-    /// Its places, in the order of halls.
+    /// Its places, ordered by hall.
     pub places: Vec<ServicePlace>,
 }
 
-/// The whole declaration, compiled.
+/// A compiled declaration.
 #[derive(Debug, Clone)]
 pub struct SteeringTopology {
-    /// The generation that it was compiled from.
+    /// The generation of the declaration.
     pub generation: u64,
     /// The declaration itself.
     pub declaration: sync::Arc<declaration::SteeringDeclaration>,
