--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -69,7 +69,7 @@
 /// The controller of one host.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each tells of a change that was logged, none is a mode"
+    reason = "each records a state that was already logged, none is a mode"
 )]
 #[derive(Debug)]
 pub struct HostController {
--- a/src/steering/figures.rs
+++ b/src/steering/figures.rs
@@ -47,8 +47,8 @@
         halls.map(|(_, counter)| counter.in_use).sum()
     }
 
-    /// Divides the waiting requests evenly over all places of the own region, since any of these
-    /// could serve them.
+    /// Divides the waiting requests evenly over all places of the own region, or of the other regions
+    /// if it has none, since any of these places could serve them.
     fn count_waiting(&mut self) {
         for (name, service) in &self.services {
             let places = if service.near.is_empty() {
