--- a/src/worker/held.rs
+++ b/src/worker/admitted.rs
@@ -8,7 +8,7 @@
 use crate::timer::Moment;
 
 /// An admitted request. Dropping it releases its units, and also its claim if nothing was sent.
-pub(super) struct HeldRequest {
+pub(super) struct AdmittedRequest {
     pub(super) admission: RequestAdmission,
     pub(super) service: String,
     pub(super) class: String,
@@ -21,7 +21,7 @@
     pub(super) finished: bool,
 }
 
-impl HeldRequest {
+impl AdmittedRequest {
     pub(super) fn new(admission: RequestAdmission, request: &CallerRequest) -> Self {
         Self {
             admission,
@@ -72,7 +72,7 @@
     }
 
     /// Records that the head of an answer arrived. The server stays occupied until the body ends.
-    pub(super) fn answered(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
+    pub(super) fn record_answer(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
         with_worker(|worker| {
             let now = worker.now();
             worker
@@ -82,14 +82,14 @@
     }
 }
 
-impl Drop for HeldRequest {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         self.end_attempt(AttemptResult::Abandoned, None);
         if !self.sent {
             self.settle(None);
         }
         if !std::mem::replace(&mut self.finished, true) {
-            with_worker(|worker| worker.give_back(&self.admission));
+            with_worker(|worker| worker.release(&self.admission));
         }
     }
 }
--- a/src/worker/answer.rs
+++ b/src/worker/answer.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt as _, Full};
 use hyper::body::{Frame, Incoming, SizeHint};
 
-use super::streamed::AnsweredRequest;
+use super::answer_stream::AnsweredRequest;
 use crate::result_code::{RequestOutcome, ResultCode};
 
 pub(super) use crate::result_code::CODE_HEADER;
@@ -18,7 +18,7 @@
 pub(super) const LOOKUP_HEADER: &str = "x-ledgespool-lookup";
 
 /// A server that sends nothing for this long within an answer counts as broken.
-const STALL_LIMIT: time::Duration = time::Duration::from_secs(10);
+const STALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// A final response that this host makes itself, instead of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -113,12 +113,12 @@
 }
 
 /// Asks the caller to repeat its look-up before the next request.
-pub(super) fn send_to_look_up(headers: &mut http::HeaderMap) {
+pub(super) fn request_new_lookup(headers: &mut http::HeaderMap) {
     put(headers, LOOKUP_HEADER, "again");
 }
 
 /// Adds this host's headers to a server's answer.
-pub(super) fn mark_answered(
+pub(super) fn add_answer_headers(
     headers: &mut http::HeaderMap,
     request_id: &str,
     hall: &str,
@@ -129,7 +129,7 @@
     put(headers, REQUEST_HEADER, request_id);
     put(headers, "x-ledgespool-hall", hall);
     if leaving {
-        send_to_look_up(headers);
+        request_new_lookup(headers);
         headers.insert(
             http::header::CONNECTION,
             http::HeaderValue::from_static("close"),
@@ -160,13 +160,13 @@
         body
     }
 
-    fn finish(&mut self, whole: bool) {
+    fn finish(&mut self, complete: bool) {
         if let Some(request) = self.request.take() {
-            request.finish(whole);
+            request.finish(complete);
         }
     }
 
-    fn broken(&mut self, detail: &str) -> task::Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn fail_stream(&mut self, detail: &str) -> task::Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         self.finish(false);
         task::Poll::Ready(Some(Err(io::Error::new(
             io::ErrorKind::UnexpectedEof,
@@ -191,7 +191,7 @@
                 }
                 task::Poll::Ready(Some(Ok(frame)))
             }
-            task::Poll::Ready(Some(Err(fault))) => self.broken(&fault.to_string()),
+            task::Poll::Ready(Some(Err(fault))) => self.fail_stream(&fault.to_string()),
             task::Poll::Ready(None) => {
                 self.finish(true);
                 task::Poll::Ready(None)
@@ -199,9 +199,9 @@
             task::Poll::Pending => {
                 let stall = self
                     .stall
-                    .get_or_insert_with(|| Box::pin(tokio::time::sleep(STALL_LIMIT)));
+                    .get_or_insert_with(|| Box::pin(tokio::time::sleep(STALL_TIMEOUT)));
                 match stall.as_mut().poll(cx) {
-                    task::Poll::Ready(()) => self.broken("the answer stalled"),
+                    task::Poll::Ready(()) => self.fail_stream("the answer stalled"),
                     task::Poll::Pending => task::Poll::Pending,
                 }
             }
--- a/src/worker/streamed.rs
+++ b/src/worker/answer_stream.rs
@@ -4,8 +4,8 @@
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
 
+use super::admitted::AdmittedRequest;
 use super::answer::{self, AnswerBody};
-use super::held::HeldRequest;
 use super::incoming::CallerRequest;
 use super::pool::PooledConnection;
 use super::with_worker;
@@ -15,43 +15,43 @@
 
 /// A request whose answer is being streamed.
 pub(super) struct AnsweredRequest {
-    held: HeldRequest,
+    admitted: AdmittedRequest,
     connection: Option<PooledConnection>,
 }
 
 impl AnsweredRequest {
     /// Finishes the request. Only a connection whose answer was read completely is used again.
-    pub(super) fn finish(mut self, whole: bool) {
-        let code = if whole {
+    pub(super) fn finish(mut self, complete: bool) {
+        let code = if complete {
             ResultCode::Answered
         } else {
             ResultCode::AnswerLost
         };
-        self.held.end_attempt(AttemptResult::Abandoned, None);
-        let connection = self.connection.take().filter(|_| whole);
+        self.admitted.end_attempt(AttemptResult::Abandoned, None);
+        let connection = self.connection.take().filter(|_| complete);
         with_worker(|worker| {
-            let millis = worker.now().since(self.held.arrived);
+            let millis = worker.now().since(self.admitted.arrived);
             worker
                 .metrics
-                .on_request(&self.held.service, &self.held.class, code, millis);
+                .on_request(&self.admitted.service, &self.admitted.class, code, millis);
             if let Some(connection) = connection {
                 worker
                     .pool
-                    .put(self.held.admission.server.address, connection);
+                    .put(self.admitted.admission.server.address, connection);
             }
         });
     }
 }
 
 pub(super) fn stream_answer(
-    held: HeldRequest,
+    admitted: AdmittedRequest,
     request: &CallerRequest,
     parts: &http::response::Parts,
     body: Incoming,
     connection: PooledConnection,
 ) -> http::Response<Body> {
     let view = with_worker(|worker| {
-        let hall = held.admission.hall;
+        let hall = admitted.admission.hall;
         let name = worker
             .steering
             .topology()
@@ -63,7 +63,7 @@
     });
     let (hall, leaving) = view.unwrap_or_default();
     let echoed = parts.headers.contains_key(answer::REQUEST_HEADER);
-    let reusable = echoed && held.admission.repeatable;
+    let reusable = echoed && admitted.admission.repeatable;
     let connection = reusable.then_some(PooledConnection {
         used: true,
         ..connection
@@ -71,7 +71,13 @@
     let mut response = http::Response::new(Body::default());
     *response.status_mut() = parts.status;
     *response.headers_mut() = connection_headers::end_to_end(&parts.headers);
-    answer::mark_answered(response.headers_mut(), &request.id, &hall, leaving);
-    let streamed = AnswerBody::new(body, AnsweredRequest { held, connection });
-    response.map(|_empty| streamed.boxed_unsync())
+    answer::add_answer_headers(response.headers_mut(), &request.id, &hall, leaving);
+    let stream = AnswerBody::new(
+        body,
+        AnsweredRequest {
+            admitted,
+            connection,
+        },
+    );
+    response.map(|_empty| stream.boxed_unsync())
 }
--- a/src/worker/attempt.rs
+++ b/src/worker/attempt.rs
@@ -8,12 +8,12 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 
+use super::admitted::AdmittedRequest;
 use super::answer::{self, CallerRefusal};
+use super::answer_stream;
 use super::head;
-use super::held::HeldRequest;
 use super::incoming::CallerRequest;
 use super::pool::PooledConnection;
-use super::streamed;
 use super::{WorkerState, with_worker};
 use crate::connection_headers;
 use crate::control_message::ControlInput;
@@ -23,7 +23,7 @@
 use crate::steering::{AttemptResult, COME_BACK_LONG_MS, RequestAdmission};
 
 /// Timeout for opening a connection to a backend server.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(500);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// Header by which a server states that it did not run the request.
 const SHED_HEADER: &str = "x-ledgespool-not-run";
@@ -35,30 +35,30 @@
 /// Why an attempt failed.
 enum AttemptFault {
     /// The request was certainly not run: it was never written, or the server shed it.
-    Unrun(ResultCode),
+    NotRun(ResultCode),
     /// The request was sent, but no valid answer arrived.
     Unknown(ResultCode),
 }
 
 pub(super) async fn send_request(
-    mut held: HeldRequest,
+    mut admitted: AdmittedRequest,
     request: &CallerRequest,
 ) -> Result<http::Response<Body>, CallerRefusal> {
     loop {
-        match attempt(&mut held, request).await {
+        match attempt(&mut admitted, request).await {
             Ok((parts, body, connection)) => {
-                return Ok(streamed::stream_answer(
-                    held, request, &parts, body, connection,
+                return Ok(answer_stream::stream_answer(
+                    admitted, request, &parts, body, connection,
                 ));
             }
-            Err(AttemptFault::Unrun(code)) => {
-                held.sent = false;
-                if !held.retry(true) {
+            Err(AttemptFault::NotRun(code)) => {
+                admitted.sent = false;
+                if !admitted.retry(true) {
                     return Err(CallerRefusal::with_code(code, Some(COME_BACK_LONG_MS)));
                 }
             }
             Err(AttemptFault::Unknown(code)) => {
-                if !held.retry(false) {
+                if !admitted.retry(false) {
                     return Err(CallerRefusal::with_code(code, None));
                 }
             }
@@ -69,35 +69,35 @@
 type AnswerParts = (http::response::Parts, Incoming, PooledConnection);
 
 async fn attempt(
-    held: &mut HeldRequest,
+    admitted: &mut AdmittedRequest,
     request: &CallerRequest,
 ) -> Result<AnswerParts, AttemptFault> {
-    let limit = time_left(&held.admission);
-    let mut connection = match open_connection(held, limit).await {
+    let timeout = time_left(&admitted.admission);
+    let mut connection = match open_connection(admitted, timeout).await {
         Ok(connection) => connection,
         Err(fault) => {
-            held.end_attempt(AttemptResult::Failure, None);
+            admitted.end_attempt(AttemptResult::Failure, None);
             return Err(fault);
         }
     };
-    let outgoing = outgoing_request(held, request);
-    held.sent = true;
+    let outgoing = outgoing_request(admitted, request);
+    admitted.sent = true;
     let sending = connection.sender.try_send_request(outgoing);
-    match tokio::time::timeout(time_left(&held.admission), sending).await {
+    match tokio::time::timeout(time_left(&admitted.admission), sending).await {
         Err(_elapsed) => {
-            held.end_attempt(AttemptResult::Failure, None);
+            admitted.end_attempt(AttemptResult::Failure, None);
             Err(AttemptFault::Unknown(ResultCode::DeadlinePassed))
         }
         Ok(Err(mut fault)) => {
-            held.end_attempt(AttemptResult::Failure, None);
+            admitted.end_attempt(AttemptResult::Failure, None);
             if fault.take_message().is_some() {
-                return Err(AttemptFault::Unrun(ResultCode::ConnectFailed));
+                return Err(AttemptFault::NotRun(ResultCode::ConnectFailed));
             }
             Err(AttemptFault::Unknown(ResultCode::AnswerLost))
         }
         Ok(Ok(response)) => {
             let (parts, body) = response.into_parts();
-            check_answer(held, request, &parts, &connection)?;
+            check_answer(admitted, request, &parts, &connection)?;
             Ok((parts, body, connection))
         }
     }
@@ -111,27 +111,30 @@
 /// Returns an idle connection for repeatable requests and a new one for all others. A server may
 /// close an idle connection just as the request is sent, which would leave the outcome unknown.
 async fn open_connection(
-    held: &HeldRequest,
-    limit: time::Duration,
+    admitted: &AdmittedRequest,
+    timeout: time::Duration,
 ) -> Result<PooledConnection, AttemptFault> {
-    let address = held.admission.server.address;
-    if held.admission.repeatable
+    let address = admitted.admission.server.address;
+    if admitted.admission.repeatable
         && let Some(connection) = with_worker(|worker| worker.pool.take(address)).flatten()
     {
         return Ok(connection);
     }
-    match http_client::connect(address, limit.min(CONNECT_LIMIT)).await {
+    match http_client::connect(address, timeout.min(CONNECT_TIMEOUT)).await {
         Ok(sender) => Ok(PooledConnection {
             sender,
             used: false,
         }),
         Err(ExchangeFault::NotSent | ExchangeFault::Lost) => {
-            Err(AttemptFault::Unrun(ResultCode::ConnectFailed))
+            Err(AttemptFault::NotRun(ResultCode::ConnectFailed))
         }
     }
 }
 
-fn outgoing_request(held: &HeldRequest, request: &CallerRequest) -> http::Request<Full<Bytes>> {
+fn outgoing_request(
+    admitted: &AdmittedRequest,
+    request: &CallerRequest,
+) -> http::Request<Full<Bytes>> {
     let mut outgoing = http::Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.head.target.parse().unwrap_or_default();
@@ -142,40 +145,40 @@
             headers.insert(name, value);
         }
     };
-    put("host", held.admission.server.address.to_string());
+    put("host", admitted.admission.server.address.to_string());
     put(answer::REQUEST_HEADER, request.id.clone());
     put(
         head::DEADLINE_HEADER,
-        time_left(&held.admission).as_millis().to_string(),
+        time_left(&admitted.admission).as_millis().to_string(),
     );
     outgoing
 }
 
 /// Checks that the answer belongs to this request and that the server ran the request.
 fn check_answer(
-    held: &mut HeldRequest,
+    admitted: &mut AdmittedRequest,
     request: &CallerRequest,
     parts: &http::response::Parts,
     connection: &PooledConnection,
 ) -> Result<(), AttemptFault> {
     let load = number_header(&parts.headers, LOAD_HEADER);
     if parts.headers.contains_key(LEAVING_HEADER) {
-        note_leaving(&held.admission);
+        report_leaving_server(&admitted.admission);
     }
-    if !belongs(request, parts, connection) {
+    if !is_answer_to(request, parts, connection) {
         with_worker(|worker| {
             worker
                 .events
                 .write(EventCode::AnswerDropped, request.id.clone());
         });
-        held.end_attempt(AttemptResult::Failure, None);
+        admitted.end_attempt(AttemptResult::Failure, None);
         return Err(AttemptFault::Unknown(ResultCode::AnswerInvalid));
     }
     if parts.status == http::StatusCode::SERVICE_UNAVAILABLE
         && parts.headers.contains_key(SHED_HEADER)
     {
-        held.end_attempt(AttemptResult::Shed, load);
-        return Err(AttemptFault::Unrun(ResultCode::ServerShed));
+        admitted.end_attempt(AttemptResult::Shed, load);
+        return Err(AttemptFault::NotRun(ResultCode::ServerShed));
     }
     let failed = parts.status.is_server_error();
     let result = if failed {
@@ -183,14 +186,14 @@
     } else {
         AttemptResult::Success
     };
-    held.settle(Some(parts.status.as_u16()));
-    held.answered(result, load);
+    admitted.settle(Some(parts.status.as_u16()));
+    admitted.record_answer(result, load);
     Ok(())
 }
 
 /// Whether the answer carries this request's id. An answer without an id is accepted on a
 /// connection that was not used before, since it can't belong to another request.
-fn belongs(
+fn is_answer_to(
     request: &CallerRequest,
     parts: &http::response::Parts,
     connection: &PooledConnection,
@@ -205,7 +208,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn note_leaving(admission: &RequestAdmission) {
+fn report_leaving_server(admission: &RequestAdmission) {
     with_worker(|worker: &mut WorkerState| {
         if let Some(name) = worker.steering.mark_leaving(admission) {
             // If the ring is full, the server's next answer reports it again.
--- a/src/worker/claiming.rs
+++ b/src/worker/claiming.rs
@@ -1,8 +1,8 @@
 //! Claims the key of a request that must not be repeated, before anything is sent.
 
+use super::admitted::AdmittedRequest;
 use super::answer::{self, CallerRefusal};
 use super::head::RequestHead;
-use super::held::HeldRequest;
 use super::with_worker;
 use crate::claim::{ClaimAttempt, ClaimKey};
 use crate::claim_role::ClaimRequest;
@@ -12,7 +12,7 @@
 use crate::timer;
 
 /// Upper bound for the wait for a claim decision, whatever the request's deadline.
-const CLAIM_LIMIT_MS: u64 = 2_000;
+const CLAIM_TIMEOUT_MS: u64 = 2_000;
 
 /// A claim that was granted to a request, or is being requested for it.
 #[derive(Debug, Clone)]
@@ -48,16 +48,19 @@
 
 /// Claims the key. The claim is recorded in the request before the decision arrives, so that it is
 /// released if the caller disconnects in the meantime.
-pub(super) async fn claim(held: &mut HeldRequest, key: ClaimKey) -> Result<(), CallerRefusal> {
+pub(super) async fn claim(
+    admitted: &mut AdmittedRequest,
+    key: ClaimKey,
+) -> Result<(), CallerRefusal> {
     let setup = with_worker(|worker| {
-        let deadline = held
+        let deadline = admitted
             .admission
             .deadline
-            .min(worker.now().plus(CLAIM_LIMIT_MS));
+            .min(worker.now().plus(CLAIM_TIMEOUT_MS));
         (worker.control.clone(), worker.next_attempt(), deadline)
     });
     let (control, attempt, deadline) = setup.ok_or_else(answer::internal_refusal)?;
-    held.claim = Some(GrantedClaim {
+    admitted.claim = Some(GrantedClaim {
         key,
         attempt: attempt.clone(),
     });
@@ -80,7 +83,7 @@
     if decision == ClaimDecision::Granted {
         return Ok(());
     }
-    held.claim = None;
+    admitted.claim = None;
     Err(claim_refusal(decision))
 }
 
--- a/src/worker/forward.rs
+++ b/src/worker/forward.rs
@@ -8,9 +8,9 @@
 use gotham::helpers::http::Body;
 use gotham::state::State;
 
+use super::admitted::AdmittedRequest;
 use super::answer::{self, CallerRefusal};
 use super::head::RequestHead;
-use super::held::HeldRequest;
 use super::incoming::{self, CallerRequest};
 use super::{attempt, claiming, wait, with_worker};
 use crate::result_code::ResultCode;
@@ -32,7 +32,7 @@
 fn refuse(refusal: &CallerRefusal) -> http::Response<Body> {
     let mut response = answer::refusal_response(refusal);
     if with_worker(|worker| worker.leaving_since.is_some()) == Some(true) {
-        answer::send_to_look_up(response.headers_mut());
+        answer::request_new_lookup(response.headers_mut());
     }
     response
 }
@@ -44,12 +44,12 @@
         .await
         .map_err(|refusal| refusal.for_request(&id));
     if let Err(refusal) = &result {
-        note_end(&request.head, refusal.code, request.arrived);
+        record_completion(&request.head, refusal.code, request.arrived);
     }
     result
 }
 
-fn note_end(head: &RequestHead, code: ResultCode, arrived: Moment) {
+fn record_completion(head: &RequestHead, code: ResultCode, arrived: Moment) {
     with_worker(|worker| {
         let millis = worker.now().since(arrived);
         worker
@@ -61,11 +61,11 @@
 async fn run_request(request: &CallerRequest) -> Result<http::Response<Body>, CallerRefusal> {
     let key = claiming::read_claim_key(&request.head)?;
     let admission = admit(request).await?;
-    let mut held = HeldRequest::new(admission, request);
+    let mut admitted = AdmittedRequest::new(admission, request);
     if let Some(key) = key {
-        claiming::claim(&mut held, key).await?;
+        claiming::claim(&mut admitted, key).await?;
     }
-    attempt::send_request(held, request).await
+    attempt::send_request(admitted, request).await
 }
 
 async fn admit(request: &CallerRequest) -> Result<RequestAdmission, CallerRefusal> {
@@ -90,11 +90,11 @@
     });
     match decision.ok_or_else(answer::internal_refusal)? {
         AdmitDecision::Admitted(admission) => Ok(admission),
-        AdmitDecision::Refused(refusal) => Err(refused(refusal)),
-        AdmitDecision::Waiting(ticket) => wait::for_unit(ticket).await.map_err(refused),
+        AdmitDecision::Refused(refusal) => Err(caller_refusal(refusal)),
+        AdmitDecision::Waiting(ticket) => wait::for_unit(ticket).await.map_err(caller_refusal),
     }
 }
 
-const fn refused(refusal: RequestRefusal) -> CallerRefusal {
+const fn caller_refusal(refusal: RequestRefusal) -> CallerRefusal {
     CallerRefusal::with_code(refusal.code, refusal.retry_after_ms)
 }
--- a/src/worker/incoming.rs
+++ b/src/worker/incoming.rs
@@ -16,7 +16,7 @@
 use crate::timer::Moment;
 
 /// Timeout for reading the caller's body, whatever the request's deadline.
-const BODY_LIMIT: time::Duration = time::Duration::from_secs(10);
+const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// A request that was read and checked.
 pub(super) struct CallerRequest {
@@ -78,8 +78,8 @@
     if http_body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
-    match tokio::time::timeout(BODY_LIMIT, Limited::new(body, max_bytes).collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+    match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(fault)) if fault.is::<LengthLimitError>() => {
             Err(CallerRefusal::with_code(ResultCode::BodyTooLarge, None))
         }
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -4,16 +4,16 @@
 //! so the request path takes no lock. The state is thread-local; gotham's handlers access it in
 //! short calls that never span an await.
 
+mod admitted;
 mod answer;
+mod answer_stream;
 mod attempt;
 mod claiming;
 mod forward;
 mod head;
-mod held;
 mod incoming;
 mod pool;
 mod route;
-mod streamed;
 mod wait;
 
 use std::{cell, net, sync, thread, time};
@@ -39,7 +39,7 @@
 
 /// Commands that may be queued for a worker. When the ring is full, the control thread keeps the
 /// newest command of each kind and sends it again later.
-const ORDER_RING: usize = 256;
+const COMMAND_RING_CAPACITY: usize = 256;
 
 /// A command of the control thread to a worker.
 #[derive(Debug, Clone)]
@@ -127,9 +127,9 @@
         }
     }
 
-    fn obey(&mut self, order: WorkerOrder) {
+    fn handle_command(&mut self, command: WorkerOrder) {
         let now = self.now();
-        match order {
+        match command {
             WorkerOrder::Tick => {}
             WorkerOrder::Topology(topology) => {
                 self.steering.install_topology(&topology, now);
@@ -174,7 +174,7 @@
 pub fn spawn(
     setup: WorkerSetup,
 ) -> std::io::Result<(RingSender<WorkerOrder>, thread::JoinHandle<()>)> {
-    let (sender, receiver) = ring::with_capacity(ORDER_RING);
+    let (sender, receiver) = ring::with_capacity(COMMAND_RING_CAPACITY);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -186,7 +186,7 @@
     Ok((sender, handle))
 }
 
-async fn run(setup: WorkerSetup, orders: RingReceiver<WorkerOrder>) {
+async fn run(setup: WorkerSetup, commands: RingReceiver<WorkerOrder>) {
     let WorkerSetup {
         number,
         settings,
@@ -221,8 +221,8 @@
         return;
     };
     tokio::spawn(async move {
-        while let Some(order) = orders.pop().await {
-            with_worker(|worker| worker.obey(order));
+        while let Some(command) = commands.pop().await {
+            with_worker(|worker| worker.handle_command(command));
         }
     });
     let router = route::build_router();
--- a/src/worker/pool.rs
+++ b/src/worker/pool.rs
@@ -5,7 +5,7 @@
 use crate::http_client::ClientSender;
 
 /// Idle connections retained for each server.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_PER_SERVER: usize = 16;
 
 /// A connection, and whether an answer was already received over it.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     pub(super) fn put(&mut self, address: net::SocketAddr, connection: PooledConnection) {
         let idle = self.idle.entry(address).or_default();
         idle.retain(|connection| !connection.sender.is_closed());
-        if idle.len() < MAX_IDLE && !connection.sender.is_closed() {
+        if idle.len() < MAX_IDLE_PER_SERVER && !connection.sender.is_closed() {
             idle.push(connection);
         }
     }
--- a/src/worker/route.rs
+++ b/src/worker/route.rs
@@ -42,11 +42,11 @@
         return Some(peer);
     }
     let headers = http::HeaderMap::borrow_from(state);
-    let named = headers
+    let reported = headers
         .get(CALLER_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
-    Some(named.unwrap_or(peer))
+    Some(reported.unwrap_or(peer))
 }
 
 fn query_value<'u>(uri: &'u http::Uri, name: &str) -> Option<&'u str> {
@@ -59,7 +59,7 @@
 
 fn lookup(state: State) -> (State, http::Response<Body>) {
     let response = match find_answer(&state) {
-        Ok(bytes) => lookup_response(bytes),
+        Ok(bytes) => json_response(bytes),
         Err(refusal) => answer::refusal_response(&refusal),
     };
     (state, response)
@@ -96,7 +96,7 @@
         .unwrap_or_else(|| Err(answer::internal_refusal()))
 }
 
-fn lookup_response(bytes: Bytes) -> http::Response<Body> {
+fn json_response(bytes: Bytes) -> http::Response<Body> {
     let body = Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync();
@@ -125,7 +125,7 @@
     });
     let response = match refusal.flatten() {
         Some(refusal) => answer::refusal_response(&refusal),
-        None => lookup_response(Bytes::from_static(b"{\"status\":\"ready\"}")),
+        None => json_response(Bytes::from_static(b"{\"status\":\"ready\"}")),
     };
     (state, response)
 }
--- a/src/worker/wait.rs
+++ b/src/worker/wait.rs
@@ -18,7 +18,7 @@
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         if let Some(admission) = self.admission.take() {
-            with_worker(|worker| worker.abandon(&admission));
+            with_worker(|worker| worker.release_unused(&admission));
         }
     }
 }
@@ -32,9 +32,9 @@
 }
 
 /// Removes the request from the queue when its caller disconnects.
-struct LineGuard(WaitTicket);
+struct QueueGuard(WaitTicket);
 
-impl Drop for LineGuard {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         with_worker(|worker| {
             if worker.waiters.waiters.remove(&self.0).is_some() {
@@ -48,7 +48,7 @@
 pub(super) async fn for_unit(ticket: WaitTicket) -> Result<RequestAdmission, RequestRefusal> {
     let (sender, receiver) = oneshot::channel();
     with_worker(|worker| worker.waiters.waiters.insert(ticket, sender));
-    let _guard = LineGuard(ticket);
+    let _guard = QueueGuard(ticket);
     let unanswered = answer::internal_refusal();
     let unanswered = RequestRefusal {
         code: unanswered.code,
@@ -60,27 +60,27 @@
 
 impl WorkerState {
     /// Releases the units of a finished request and passes them to waiting requests.
-    pub(super) fn give_back(&mut self, admission: &RequestAdmission) {
+    pub(super) fn release(&mut self, admission: &RequestAdmission) {
         self.steering.finish(admission);
         self.wake_ready();
     }
 
     /// Releases an admission that was never used.
-    fn abandon(&mut self, admission: &RequestAdmission) {
+    fn release_unused(&mut self, admission: &RequestAdmission) {
         let now = self.now();
         self.steering
             .end_attempt(admission, AttemptResult::Abandoned, None, now);
-        self.give_back(admission);
+        self.release(admission);
     }
 
     /// Wakes the requests whose wait has ended.
     pub(super) fn wake_ready(&mut self) {
         let now = self.now();
-        for end in self.steering.take_ready(now) {
-            let result = end.result.map(|admission| AdmissionGuard {
+        for outcome in self.steering.take_ready(now) {
+            let result = outcome.result.map(|admission| AdmissionGuard {
                 admission: Some(admission),
             });
-            let waiter = self.waiters.waiters.remove(&end.ticket);
+            let waiter = self.waiters.waiters.remove(&outcome.ticket);
             let unused = match waiter {
                 Some(sender) => sender.send(result).err(),
                 None => Some(result),
