--- a/src/steering/attempts.rs
+++ b/src/steering/attempts.rs
@@ -1,7 +1,7 @@
 //! Records the results of attempts at backend servers and selects another server for a retry.
 
 use super::{
-    AttemptResult, ChosenServer, RequestAdmission, SteeringPolicy, SteeringRole, choice, placing,
+    AttemptResult, ChosenServer, RequestAdmission, SteeringPolicy, SteeringRole, choice, placement,
 };
 use crate::health::LoadClaim;
 use crate::retry::RetryBudget;
@@ -53,13 +53,13 @@
             .values()
             .find(|service| service.id == admission.service)?;
         if self.policy == SteeringPolicy::Naive {
-            return choice::next_in_turn(service, &mut self.turn);
+            return choice::next_round_robin(service, &mut self.round_robin);
         }
-        let mut places = service.near.iter().chain(&service.far);
+        let mut places = service.local.iter().chain(&service.remote);
         let place = places.find(|place| place.place == admission.place)?;
         let avoid = Some(admission.server.slot);
-        choice::pick_server(
-            &placing::view_of(&self.servers, &self.units, place, avoid, now),
+        choice::select_server(
+            &placement::choice_view(&self.servers, &self.units, place, avoid, now),
             &mut self.random,
         )
     }
@@ -98,19 +98,19 @@
             }
         }
         if result == AttemptResult::Success {
-            self.note_success(admission, answer_ms as f64);
+            self.record_success(admission, answer_ms as f64);
         }
     }
 
-    fn note_success(&mut self, admission: &RequestAdmission, answer_ms: f64) {
+    fn record_success(&mut self, admission: &RequestAdmission, answer_ms: f64) {
         if let Some(retry) = self.retries.get_mut(admission.retry) {
             retry.on_success();
         }
         if let Some(counter) = self.units.get_mut(admission.place) {
-            counter.note_answer(answer_ms);
+            counter.record_answer(answer_ms);
         }
         if let Some(estimate) = self.estimates.get_mut(admission.estimate) {
-            estimate.note(answer_ms);
+            estimate.record(answer_ms);
         }
     }
 
@@ -118,7 +118,7 @@
     pub fn finish(&mut self, admission: &RequestAdmission) {
         for slot in std::iter::once(admission.place).chain(admission.route) {
             if let Some(counter) = self.units.get_mut(slot) {
-                counter.put_back();
+                counter.release();
                 counter.completed += 1;
             }
         }
--- a/src/steering/choice.rs
+++ b/src/steering/choice.rs
@@ -17,12 +17,12 @@
 pub(super) type HealthTable = SlotTable<(String, net::SocketAddr), ServerHealth>;
 
 /// A place with at most this many servers is scanned completely; a larger one is sampled.
-const SCANNED_SERVERS: usize = 16;
+const MAX_SCANNED_SERVERS: usize = 16;
 /// Number of servers sampled from a larger place.
-const DRAWN_SERVERS: usize = 4;
+const SAMPLED_SERVERS: usize = 4;
 
 /// Cost factor of a slot that is assigned to another host's units.
-const BORROWED_COST: f64 = 4.0;
+const BORROWED_SLOT_FACTOR: f64 = 4.0;
 
 /// The inputs of a selection within a place.
 #[derive(Debug, Clone, Copy)]
@@ -38,7 +38,7 @@
 
 impl ChoiceView<'_> {
     /// Whether a server may get one more request from this worker.
-    fn has_room(&self, choice: &ServerChoice) -> bool {
+    fn has_free_slot(&self, choice: &ServerChoice) -> bool {
         let state = self.health.get(choice.slot);
         Some(choice.slot) != self.avoid
             && state.is_some_and(|state| !state.is_leaving() && state.in_flight() < choice.slots)
@@ -54,7 +54,11 @@
         state.map_or(f64::MAX, |state| {
             let cost = state.cost(choice.slots, self.typical_ms, self.now);
             let borrowed = state.in_flight() >= choice.owned;
-            if borrowed { cost * BORROWED_COST } else { cost }
+            if borrowed {
+                cost * BORROWED_SLOT_FACTOR
+            } else {
+                cost
+            }
         })
     }
 
@@ -67,8 +71,9 @@
         let mut best = None;
         let mut best_cost = f64::INFINITY;
         for choice in choices {
-            let open = self.has_room(choice) && (ignore_ejection || !self.is_ejected(choice));
-            let cost = if open {
+            let selectable =
+                self.has_free_slot(choice) && (ignore_ejection || !self.is_ejected(choice));
+            let cost = if selectable {
                 self.cost(choice)
             } else {
                 f64::INFINITY
@@ -96,7 +101,7 @@
 /// Selects the cheapest server of a small place, or the cheapest of a random sample of a larger one
 /// (Mitzenmacher, 2001). The scan starts at a random position, so that hosts don't all select the
 /// first of equals.
-pub(super) fn pick_server(
+pub(super) fn select_server(
     view: &ChoiceView<'_>,
     random: &mut rand::rngs::SmallRng,
 ) -> Option<ChosenServer> {
@@ -106,10 +111,11 @@
     }
     let start = random.random_range(0..count);
     let mut best = None;
-    if count > SCANNED_SERVERS {
-        let drawn: [usize; DRAWN_SERVERS] = std::array::from_fn(|_| random.random_range(0..count));
+    if count > MAX_SCANNED_SERVERS {
+        let sampled: [usize; SAMPLED_SERVERS] =
+            std::array::from_fn(|_| random.random_range(0..count));
         best = view.cheapest(
-            drawn
+            sampled
                 .iter()
                 .filter_map(|&position| view.servers.get(position)),
             false,
@@ -131,11 +137,14 @@
 
 /// The naive policy, the baseline for measurements: round robin over all servers of the service,
 /// whatever their place, load and health.
-pub(super) fn next_in_turn(service: &ServiceChoice, turn: &mut usize) -> Option<ChosenServer> {
-    let places = service.near.iter().chain(&service.far);
+pub(super) fn next_round_robin(
+    service: &ServiceChoice,
+    round_robin: &mut usize,
+) -> Option<ChosenServer> {
+    let places = service.local.iter().chain(&service.remote);
     let servers: Vec<&ServerChoice> = places.flat_map(|place| &place.servers).collect();
-    *turn = turn.wrapping_add(1);
-    let choice = servers.get(*turn % servers.len().max(1))?;
+    *round_robin = round_robin.wrapping_add(1);
+    let choice = servers.get(*round_robin % servers.len().max(1))?;
     Some(ChosenServer {
         address: choice.address,
         slot: choice.slot,
--- a/src/steering/compile.rs
+++ b/src/steering/compile.rs
@@ -51,8 +51,8 @@
     pub(super) id: ServiceId,
     pub(super) classes: Vec<ClassChoice>,
     pub(super) priority: SteeringPriority,
-    pub(super) near: Vec<PlaceChoice>,
-    pub(super) far: Vec<PlaceChoice>,
+    pub(super) local: Vec<PlaceChoice>,
+    pub(super) remote: Vec<PlaceChoice>,
     pub(super) routes: collections::HashMap<(RegionId, RegionId), SlotIndex>,
     pub(super) shifts: Vec<ShiftChoice>,
     pub(super) retry: SlotIndex,
@@ -85,11 +85,13 @@
             });
         }
         let own_region = self.own_region;
-        let (mut near, mut far): (Vec<_>, Vec<_>) = places
+        let (mut local, mut remote): (Vec<_>, Vec<_>) = places
             .into_iter()
             .partition(|place| Some(place.region) == own_region);
-        near.sort_by_key(|place| Some(place.hall) != own_hall);
-        far.sort_by_key(|place| own_region.map_or(0, |own| topology.latency_ms(own, place.region)));
+        local.sort_by_key(|place| Some(place.hall) != own_hall);
+        remote.sort_by_key(|place| {
+            own_region.map_or(0, |own| topology.latency_ms(own, place.region))
+        });
         let retry = self
             .retries
             .ensure(name, || RetryBudget::with_share(service.entry.retry_budget));
@@ -100,8 +102,8 @@
             id,
             classes: self.class_choices(topology, id),
             priority: service.entry.priority,
-            near,
-            far,
+            local,
+            remote,
             routes: self.route_slots(topology, name),
             shifts: shift_choices(topology, name),
             retry,
@@ -136,7 +138,7 @@
                 weight: class.weight,
                 deadline_ms: class.deadline_ms,
                 repeatable: class.repeatable,
-                estimate: self.estimates.ensure(&key, || AnswerEstimate::FIRST),
+                estimate: self.estimates.ensure(&key, || AnswerEstimate::INITIAL),
             });
         }
         classes
@@ -185,15 +187,15 @@
 /// `offset..offset + units`, which are assigned to this worker. The ranges of all workers are
 /// disjoint, so that workers of different hosts spread evenly over the servers without knowing of
 /// each other's requests.
-pub(super) fn deal_slots(servers: &mut [ServerChoice], offset: u32, units: u32) {
-    let most = servers.iter().map(|server| server.slots).max().unwrap_or(0);
+pub(super) fn assign_slots(servers: &mut [ServerChoice], offset: u32, units: u32) {
+    let max_slots = servers.iter().map(|server| server.slots).max().unwrap_or(0);
     let own = offset..offset.saturating_add(units);
     for server in servers.iter_mut() {
         server.owned = 0;
     }
     let mut position = 0;
-    for turn in 0..most {
-        for server in servers.iter_mut().filter(|server| server.slots > turn) {
+    for round in 0..max_slots {
+        for server in servers.iter_mut().filter(|server| server.slots > round) {
             server.owned += u32::from(own.contains(&position));
             position += 1;
         }
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -8,12 +8,12 @@
 mod attempts;
 mod choice;
 mod compile;
-mod figures;
-mod line;
-mod order;
-mod placing;
+mod placement;
+mod queue;
+mod ranking;
 mod request;
 mod unit;
+mod usage;
 mod waiting;
 
 use std::{collections, sync};
@@ -22,8 +22,8 @@
 
 use choice::HealthTable;
 use compile::{ClassChoice, ServiceChoice};
-use line::{WaitEntry, WaitingLine};
-use placing::PlaceOutcome;
+use placement::PlaceOutcome;
+use queue::{WaitEntry, WaitQueue};
 pub use request::{
     AdmitDecision, AttemptResult, ChosenServer, RequestAdmission, RequestFacts, RequestRefusal,
     WaitTicket,
@@ -39,7 +39,7 @@
 use crate::topology::{RegionId, ServiceId, SteeringTopology};
 
 /// Range of retry times that are sent to refused callers, in milliseconds.
-const COME_BACK_MS: std::ops::RangeInclusive<u64> = 50..=5_000;
+const RETRY_AFTER_RANGE_MS: std::ops::RangeInclusive<u64> = 50..=5_000;
 /// Retry time if the request can't be served for now: no host, no server or no configuration.
 pub const COME_BACK_LONG_MS: u64 = 1_000;
 
@@ -62,7 +62,7 @@
     own_region: Option<RegionId>,
     topology: Option<sync::Arc<SteeringTopology>>,
     services: collections::HashMap<String, ServiceChoice>,
-    lines: collections::HashMap<String, WaitingLine>,
+    queues: collections::HashMap<String, WaitQueue>,
     units: SlotTable<PlaceKey, UnitCounter>,
     servers: HealthTable,
     estimates: SlotTable<(String, String), AnswerEstimate>,
@@ -71,7 +71,7 @@
     window_start: timer::Moment,
     random: rand::rngs::SmallRng,
     next_ticket: u64,
-    turn: usize,
+    round_robin: usize,
 }
 
 /// How the wait of a request ended: it was admitted or refused.
@@ -93,7 +93,7 @@
             own_region: None,
             topology: None,
             services: collections::HashMap::new(),
-            lines: collections::HashMap::new(),
+            queues: collections::HashMap::new(),
             units: SlotTable::default(),
             servers: SlotTable::default(),
             estimates: SlotTable::default(),
@@ -102,7 +102,7 @@
             window_start: timer::Moment::default(),
             random: rand::rngs::SmallRng::seed_from_u64(seed),
             next_ticket: 0,
-            turn: 0,
+            round_robin: 0,
         }
     }
 
@@ -138,29 +138,29 @@
             services.insert(service.entry.name.clone(), choice);
         }
         self.services = services;
-        self.drop_unused(topology);
+        self.remove_unused(topology);
         self.apply_grants();
     }
 
-    fn drop_unused(&mut self, topology: &SteeringTopology) {
+    fn remove_unused(&mut self, topology: &SteeringTopology) {
         let mut units: collections::HashSet<SlotIndex> = collections::HashSet::new();
         for service in self.services.values() {
             units.extend(
                 service
-                    .near
+                    .local
                     .iter()
-                    .chain(&service.far)
+                    .chain(&service.remote)
                     .map(|place| place.place),
             );
             units.extend(service.routes.values());
         }
         let table = &self.units;
-        let kept: collections::HashSet<PlaceKey> = units
+        let used: collections::HashSet<PlaceKey> = units
             .iter()
             .filter_map(|&slot| table.key_of(slot).cloned())
             .collect();
         self.units
-            .retain(|key, counter| counter.in_use > 0 || kept.contains(key));
+            .retain(|key, counter| counter.in_use > 0 || used.contains(key));
         self.servers.retain(|(name, address), health| {
             let declared = topology
                 .servers
@@ -187,16 +187,16 @@
                 && let Some(counter) = self.units.get_mut(slot)
             {
                 counter.grant = grant.units;
-                self.deal_grant(slot, grant.offset, grant.units);
+                self.assign_grant(slot, grant.offset, grant.units);
             }
         }
     }
 
-    fn deal_grant(&mut self, slot: SlotIndex, offset: u32, units: u32) {
+    fn assign_grant(&mut self, slot: SlotIndex, offset: u32, units: u32) {
         for service in self.services.values_mut() {
-            let mut places = service.near.iter_mut().chain(&mut service.far);
+            let mut places = service.local.iter_mut().chain(&mut service.remote);
             if let Some(place) = places.find(|place| place.place == slot) {
-                compile::deal_slots(&mut place.servers, offset, units);
+                compile::assign_slots(&mut place.servers, offset, units);
             }
         }
     }
@@ -229,21 +229,21 @@
             ),
         };
         if self.is_too_late(&service.classes[class], &entry, now) {
-            return AdmitDecision::Refused(placing::too_late());
+            return AdmitDecision::Refused(placement::deadline_refusal());
         }
         let ahead = self
-            .lines
+            .queues
             .get(facts.service)
-            .map_or(0, |line| line.ahead_of(service.classes[class].weight));
+            .map_or(0, |queue| queue.count_ahead(service.classes[class].weight));
         let placed = if ahead == 0 {
             self.place(facts.service, &entry, now)
         } else {
-            PlaceOutcome::NoRoom
+            PlaceOutcome::NoCapacity
         };
         match placed {
             PlaceOutcome::Admitted(admission) => AdmitDecision::Admitted(admission),
-            PlaceOutcome::NoServer => AdmitDecision::Refused(placing::no_server()),
-            PlaceOutcome::NoRoom => self.hold_or_refuse(facts.service, entry, ahead, now),
+            PlaceOutcome::NoServer => AdmitDecision::Refused(placement::no_server_refusal()),
+            PlaceOutcome::NoCapacity => self.enqueue_or_refuse(facts.service, entry, ahead, now),
         }
     }
 
--- a/src/steering/placing.rs
+++ b/src/steering/placement.rs
@@ -5,12 +5,12 @@
 
 use super::choice::{self, ChoiceView, HealthTable};
 use super::compile::{PlaceChoice, ServiceChoice};
-use super::line::{MAX_LINE, WaitEntry};
-use super::order::{self, OrderedPlace};
+use super::queue::{MAX_QUEUE_LENGTH, WaitEntry};
+use super::ranking::{self, RankedPlace};
 use super::unit::{AnswerEstimate, UnitCounter};
 use super::{
-    AdmitDecision, COME_BACK_LONG_MS, COME_BACK_MS, ChosenServer, RequestAdmission, RequestRefusal,
-    SteeringPolicy, SteeringRole, WaitTicket,
+    AdmitDecision, COME_BACK_LONG_MS, ChosenServer, RETRY_AFTER_RANGE_MS, RequestAdmission,
+    RequestRefusal, SteeringPolicy, SteeringRole, WaitTicket,
 };
 use crate::budget::PlaceKey;
 use crate::result_code::ResultCode;
@@ -20,7 +20,7 @@
 /// Longest expected wait of a request that is queued.
 const MAX_WAIT_MS: f64 = 1_000.0;
 /// Largest share of the remaining time that waiting and answering may be expected to take.
-const DEADLINE_SHARE: f64 = 0.8;
+const MAX_DEADLINE_SHARE: f64 = 0.8;
 
 impl SteeringRole {
     /// Finds a place with a free unit and a server for a request.
@@ -33,32 +33,32 @@
         let Some(service) = self.services.get(name) else {
             return PlaceOutcome::NoServer;
         };
-        let order = order::place_order(
+        let ranking = ranking::rank_places(
             service,
             entry.block_hash,
             entry.home,
             self.own_region,
             &self.units,
         );
-        let mut saw_server = false;
-        for ordered in &order {
+        let mut found_server = false;
+        for ranked in &ranking {
             let server = match self.policy {
                 SteeringPolicy::Steered => {
-                    let view = view_of(&self.servers, &self.units, ordered.place, None, now);
-                    choice::pick_server(&view, &mut self.random)
+                    let view = choice_view(&self.servers, &self.units, ranked.place, None, now);
+                    choice::select_server(&view, &mut self.random)
                 }
-                SteeringPolicy::Naive => choice::next_in_turn(service, &mut self.turn),
+                SteeringPolicy::Naive => choice::next_round_robin(service, &mut self.round_robin),
             };
-            saw_server |= server.is_some();
-            let room = self.policy == SteeringPolicy::Naive || self.has_room(ordered);
-            if let (true, Some(server)) = (room, server) {
-                let admission = admission_to(service, server, ordered, entry, now);
-                self.take(&admission);
+            found_server |= server.is_some();
+            let may_place = self.policy == SteeringPolicy::Naive || self.has_free_units(ranked);
+            if let (true, Some(server)) = (may_place, server) {
+                let admission = admission_to(service, server, ranked, entry, now);
+                self.acquire_units(&admission);
                 return PlaceOutcome::Admitted(admission);
             }
         }
-        if saw_server {
-            PlaceOutcome::NoRoom
+        if found_server {
+            PlaceOutcome::NoCapacity
         } else {
             PlaceOutcome::NoServer
         }
@@ -66,7 +66,7 @@
 
     /// Queues a request if it is expected to get a unit and its answer in time; otherwise refuses
     /// it now, with the time after which to retry.
-    pub(super) fn hold_or_refuse(
+    pub(super) fn enqueue_or_refuse(
         &mut self,
         name: &str,
         mut entry: WaitEntry,
@@ -74,7 +74,7 @@
         now: timer::Moment,
     ) -> AdmitDecision {
         let Some(service) = self.services.get(name) else {
-            return AdmitDecision::Refused(no_server());
+            return AdmitDecision::Refused(no_server_refusal());
         };
         let class = &service.classes[entry.class];
         let weight = class.weight;
@@ -82,44 +82,45 @@
             .estimates
             .get(class.estimate)
             .copied()
-            .unwrap_or(AnswerEstimate::FIRST);
-        let order = order::place_order(
+            .unwrap_or(AnswerEstimate::INITIAL);
+        let ranking = ranking::rank_places(
             service,
             entry.block_hash,
             entry.home,
             self.own_region,
             &self.units,
         );
-        let full = full_slots(&order, &self.units);
-        let units: u32 = order.iter().map(|ordered| self.usable_units(ordered)).sum();
+        let full = full_slots(&ranking, &self.units);
+        let units: u32 = ranking.iter().map(|ranked| self.usable_units(ranked)).sum();
         let wait_ms = (ahead + 1) as f64 * estimate.answer_ms / f64::from(units.max(1));
         let time_left = entry.deadline.since(now) as f64;
-        let in_time = wait_ms + estimate.answer_ms <= DEADLINE_SHARE * time_left;
-        let line = self.lines.entry(name.to_owned()).or_default();
-        if units > 0 && in_time && wait_ms <= MAX_WAIT_MS && line.len() < MAX_LINE {
+        let in_time = wait_ms + estimate.answer_ms <= MAX_DEADLINE_SHARE * time_left;
+        let queue = self.queues.entry(name.to_owned()).or_default();
+        if units > 0 && in_time && wait_ms <= MAX_WAIT_MS && queue.len() < MAX_QUEUE_LENGTH {
             self.next_ticket += 1;
             entry.ticket = WaitTicket(self.next_ticket);
-            line.push(weight, entry);
+            queue.push(weight, entry);
             return AdmitDecision::Waiting(entry.ticket);
         }
         AdmitDecision::Refused(self.refuse(&full, estimate.answer_ms, wait_ms))
     }
 
-    fn usable_units(&self, ordered: &OrderedPlace<'_>) -> u32 {
+    fn usable_units(&self, ranked: &RankedPlace<'_>) -> u32 {
         let grant = |slot: SlotIndex| self.units.get(slot).map_or(0, |counter| counter.grant);
-        let route = ordered.route.map_or(u32::MAX, grant);
-        grant(ordered.place.place).min(route)
+        let route = ranked.route.map_or(u32::MAX, grant);
+        grant(ranked.place.place).min(route)
     }
 
-    fn has_room(&self, ordered: &OrderedPlace<'_>) -> bool {
-        let room = |slot: SlotIndex| self.units.get(slot).is_some_and(UnitCounter::has_room);
-        room(ordered.place.place) && ordered.route.is_none_or(room)
+    fn has_free_units(&self, ranked: &RankedPlace<'_>) -> bool {
+        let is_free =
+            |slot: SlotIndex| self.units.get(slot).is_some_and(UnitCounter::has_free_unit);
+        is_free(ranked.place.place) && ranked.route.is_none_or(is_free)
     }
 
-    fn take(&mut self, admission: &RequestAdmission) {
+    fn acquire_units(&mut self, admission: &RequestAdmission) {
         for slot in std::iter::once(admission.place).chain(admission.route) {
             if let Some(counter) = self.units.get_mut(slot) {
-                counter.take();
+                counter.acquire();
             }
         }
         if let Some(health) = self.servers.get_mut(admission.server.slot) {
@@ -139,7 +140,8 @@
         }
         let spread = self.random.random_range(0.5..1.5);
         let millis = (wait_ms.max(answer_ms) * spread) as u64;
-        let retry_after_ms = Some(millis.clamp(*COME_BACK_MS.start(), *COME_BACK_MS.end()));
+        let retry_after_ms =
+            Some(millis.clamp(*RETRY_AFTER_RANGE_MS.start(), *RETRY_AFTER_RANGE_MS.end()));
         RequestRefusal {
             code: ResultCode::BudgetExhausted,
             retry_after_ms,
@@ -147,7 +149,7 @@
     }
 }
 
-pub(super) fn view_of<'v>(
+pub(super) fn choice_view<'v>(
     health: &'v HealthTable,
     units: &SlotTable<PlaceKey, UnitCounter>,
     place: &'v PlaceChoice,
@@ -170,7 +172,7 @@
 fn admission_to(
     service: &ServiceChoice,
     server: ChosenServer,
-    ordered: &OrderedPlace<'_>,
+    ranked: &RankedPlace<'_>,
     entry: &WaitEntry,
     now: timer::Moment,
 ) -> RequestAdmission {
@@ -180,9 +182,9 @@
         server,
         deadline: entry.deadline,
         repeatable: class.repeatable,
-        hall: ordered.place.hall,
-        place: ordered.place.place,
-        route: ordered.route,
+        hall: ranked.place.hall,
+        place: ranked.place.place,
+        route: ranked.route,
         estimate: class.estimate,
         retry: service.retry,
         attempts: 1,
@@ -193,40 +195,44 @@
 /// What blocks a request at its nearest places: each full place without a route; if there is none,
 /// the full place and route of the first place.
 fn full_slots(
-    order: &[OrderedPlace<'_>],
+    ranking: &[RankedPlace<'_>],
     units: &SlotTable<PlaceKey, UnitCounter>,
 ) -> Vec<SlotIndex> {
-    let is_full = |slot: &SlotIndex| units.get(*slot).is_some_and(|counter| !counter.has_room());
-    let near = order.iter().filter(|ordered| ordered.route.is_none());
-    let near: Vec<SlotIndex> = near
-        .map(|ordered| ordered.place.place)
+    let is_full = |slot: &SlotIndex| {
+        units
+            .get(*slot)
+            .is_some_and(|counter| !counter.has_free_unit())
+    };
+    let local = ranking.iter().filter(|ranked| ranked.route.is_none());
+    let local: Vec<SlotIndex> = local
+        .map(|ranked| ranked.place.place)
         .filter(is_full)
         .collect();
-    if !near.is_empty() {
-        return near;
+    if !local.is_empty() {
+        return local;
     }
-    let first = order.first().into_iter();
-    let parts = first.flat_map(|ordered| ordered.route.into_iter().chain([ordered.place.place]));
-    parts.filter(is_full).collect()
+    let first = ranking.first().into_iter();
+    let slots = first.flat_map(|ranked| ranked.route.into_iter().chain([ranked.place.place]));
+    slots.filter(is_full).collect()
 }
 
 /// The result of the search for a place.
 pub(super) enum PlaceOutcome {
     Admitted(RequestAdmission),
     /// There are servers, but no free units.
-    NoRoom,
+    NoCapacity,
     /// No server can be selected.
     NoServer,
 }
 
-pub(super) const fn too_late() -> RequestRefusal {
+pub(super) const fn deadline_refusal() -> RequestRefusal {
     RequestRefusal {
         code: ResultCode::DeadlineTooShort,
-        retry_after_ms: Some(*COME_BACK_MS.start()),
+        retry_after_ms: Some(*RETRY_AFTER_RANGE_MS.start()),
     }
 }
 
-pub(super) const fn no_server() -> RequestRefusal {
+pub(super) const fn no_server_refusal() -> RequestRefusal {
     RequestRefusal {
         code: ResultCode::NoHealthyServer,
         retry_after_ms: Some(COME_BACK_LONG_MS),
--- a/src/steering/line.rs
+++ b/src/steering/queue.rs
@@ -10,7 +10,7 @@
 use crate::topology::RegionId;
 
 /// Requests of one service that may wait in one worker.
-pub(super) const MAX_LINE: usize = 1_024;
+pub(super) const MAX_QUEUE_LENGTH: usize = 1_024;
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy)]
@@ -24,21 +24,21 @@
 }
 
 /// Sorts by descending weight, then by arrival.
-type LineKey = (std::cmp::Reverse<u32>, u64);
+type QueueKey = (std::cmp::Reverse<u32>, u64);
 
 /// The waiting requests of one service.
 #[derive(Debug, Default)]
-pub(super) struct WaitingLine {
-    entries: collections::BTreeMap<LineKey, WaitEntry>,
+pub(super) struct WaitQueue {
+    entries: collections::BTreeMap<QueueKey, WaitEntry>,
 }
 
-impl WaitingLine {
+impl WaitQueue {
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
     /// The number of requests that come before a new one of this weight.
-    pub(super) fn ahead_of(&self, weight: u32) -> usize {
+    pub(super) fn count_ahead(&self, weight: u32) -> usize {
         let end = (std::cmp::Reverse(weight), u64::MAX);
         self.entries.range(..=end).count()
     }
--- a/src/steering/order.rs
+++ b/src/steering/ranking.rs
@@ -9,7 +9,7 @@
 
 /// A place that may serve a request, with the route of which it needs a unit.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct OrderedPlace<'c> {
+pub(super) struct RankedPlace<'c> {
     pub(super) place: &'c PlaceChoice,
     pub(super) route: Option<SlotIndex>,
 }
@@ -17,47 +17,47 @@
 /// The places that may serve a request, best first: the target region of a shift, then the own
 /// region, then the others by latency. A request that leaves its home region needs a unit of the
 /// route.
-pub(super) fn place_order<'c>(
+pub(super) fn rank_places<'c>(
     service: &'c ServiceChoice,
     block_hash: u64,
     home: Option<RegionId>,
     own: Option<RegionId>,
     units: &SlotTable<PlaceKey, UnitCounter>,
-) -> Vec<OrderedPlace<'c>> {
-    let mut order = Vec::with_capacity(service.near.len() + service.far.len());
-    for place in service.near.iter().chain(&service.far) {
-        if let Some(ordered) = ordered_place(service, place, home, own) {
-            order.push(ordered);
+) -> Vec<RankedPlace<'c>> {
+    let mut ranking = Vec::with_capacity(service.local.len() + service.remote.len());
+    for place in service.local.iter().chain(&service.remote) {
+        if let Some(ranked) = ranked_place(service, place, home, own) {
+            ranking.push(ranked);
         }
     }
     if service.priority == SteeringPriority::Headroom {
-        let load = |ordered: &OrderedPlace<'_>| {
-            units.get(ordered.place.place).map_or(1.0, |counter| {
+        let load = |ranked: &RankedPlace<'_>| {
+            units.get(ranked.place.place).map_or(1.0, |counter| {
                 f64::from(counter.in_use) / f64::from(counter.grant.max(1))
             })
         };
-        order.sort_by(|left, right| {
-            let far = |ordered: &OrderedPlace<'_>| Some(ordered.place.region) != own;
-            far(left)
-                .cmp(&far(right))
+        ranking.sort_by(|left, right| {
+            let remote = |ranked: &RankedPlace<'_>| Some(ranked.place.region) != own;
+            remote(left)
+                .cmp(&remote(right))
                 .then(load(left).total_cmp(&load(right)))
         });
     }
     if let Some(to) = shifted_region(service, block_hash, home) {
-        order.sort_by_key(|ordered| ordered.place.region != to);
+        ranking.sort_by_key(|ranked| ranked.place.region != to);
     }
-    order
+    ranking
 }
 
-fn ordered_place<'c>(
+fn ranked_place<'c>(
     service: &ServiceChoice,
     place: &'c PlaceChoice,
     home: Option<RegionId>,
     own: Option<RegionId>,
-) -> Option<OrderedPlace<'c>> {
+) -> Option<RankedPlace<'c>> {
     let (home, own) = (home?, own?);
     if place.region == home && home == own {
-        return Some(OrderedPlace { place, route: None });
+        return Some(RankedPlace { place, route: None });
     }
     let ends = if place.region == home {
         (own, place.region)
@@ -67,7 +67,7 @@
         return None;
     };
     let route = service.routes.get(&ends).copied()?;
-    Some(OrderedPlace {
+    Some(RankedPlace {
         place,
         route: Some(route),
     })
--- a/src/steering/unit.rs
+++ b/src/steering/unit.rs
@@ -15,15 +15,15 @@
 }
 
 impl UnitCounter {
-    pub(super) const fn has_room(&self) -> bool {
+    pub(super) const fn has_free_unit(&self) -> bool {
         self.in_use < self.grant
     }
 
-    pub(super) const fn take(&mut self) {
+    pub(super) const fn acquire(&mut self) {
         self.in_use += 1;
     }
 
-    pub(super) fn note_answer(&mut self, answer_ms: f64) {
+    pub(super) fn record_answer(&mut self, answer_ms: f64) {
         let before = if self.answer_ms == 0.0 {
             answer_ms
         } else {
@@ -32,7 +32,7 @@
         self.answer_ms = before + AnswerEstimate::AVERAGE_WEIGHT * (answer_ms - before);
     }
 
-    pub(super) const fn put_back(&mut self) {
+    pub(super) const fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 }
@@ -46,22 +46,22 @@
 
 impl AnswerEstimate {
     /// The estimate before the first answer.
-    pub(super) const FIRST: Self = Self {
+    pub(super) const INITIAL: Self = Self {
         answer_ms: 20.0,
         fastest_ms: 0.0,
     };
     const AVERAGE_WEIGHT: f64 = 0.1;
     /// The fastest time grows by this factor with each answer, so that it adapts if the class has
     /// become slower.
-    const FASTEST_DRIFT: f64 = 1.01;
+    const FASTEST_GROWTH: f64 = 1.01;
 
     /// Records an answer time.
-    pub(super) fn note(&mut self, answer_ms: f64) {
+    pub(super) fn record(&mut self, answer_ms: f64) {
         self.answer_ms += Self::AVERAGE_WEIGHT * (answer_ms - self.answer_ms);
         self.fastest_ms = if self.fastest_ms == 0.0 {
             answer_ms
         } else {
-            answer_ms.min(self.fastest_ms * Self::FASTEST_DRIFT)
+            answer_ms.min(self.fastest_ms * Self::FASTEST_GROWTH)
         };
     }
 }
--- a/src/steering/figures.rs
+++ b/src/steering/usage.rs
@@ -3,7 +3,7 @@
 use std::collections;
 
 use super::SteeringRole;
-use super::line::WaitingLine;
+use super::queue::WaitQueue;
 use crate::budget::PlaceKey;
 use crate::report;
 use crate::timer;
@@ -51,12 +51,12 @@
     /// if it has none, since any of these places could serve them.
     fn count_waiting(&mut self) {
         for (name, service) in &self.services {
-            let places = if service.near.is_empty() {
-                &service.far
+            let places = if service.local.is_empty() {
+                &service.remote
             } else {
-                &service.near
+                &service.local
             };
-            let waiting = self.lines.get(name).map_or(0, WaitingLine::len);
+            let waiting = self.queues.get(name).map_or(0, WaitQueue::len);
             let share = waiting as f64 / places.len().max(1) as f64;
             for place in places {
                 if let Some(counter) = self.units.get_mut(place.place) {
