--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -14,15 +14,15 @@
 use crate::timer::Moment;
 
 /// Tickets that the controller assigns itself start here; tickets of the daemon are lower.
-pub(super) const FIRST_OWN_TICKET: u64 = 1 << 48;
+pub(super) const FIRST_CONTROLLER_TICKET: u64 = 1 << 48;
 /// Retry time after a claim that its owner did not answer.
-const OWNER_RETRY_MS: u64 = 500;
+const OWNER_RETRY_AFTER_MS: u64 = 500;
 /// Claims that may wait for answers of their owners.
-const MAX_OWNER_CLAIMS: usize = 4_096;
+const MAX_FORWARDED_CLAIMS: usize = 4_096;
 
 /// A worker's claim that was forwarded to the owner of its shard.
 #[derive(Debug)]
-pub(super) struct OwnerClaim {
+pub(super) struct ForwardedClaim {
     worker_ticket: u64,
     key: ClaimKey,
     attempt: ClaimAttempt,
@@ -49,13 +49,13 @@
     pub(super) fn on_claim(&mut self, request: ClaimRequest, now: Moment, wall: &WallWindow) {
         let Some(owner) = self.shard_owner(request.key.shard(claim_role::SHARD_COUNT)) else {
             let actions = self.claims.on_claim(request, now, wall);
-            self.run_claims(actions);
+            self.run_claim_actions(actions);
             return;
         };
-        if self.owner_claims.len() >= MAX_OWNER_CLAIMS {
+        if self.forwarded_claims.len() >= MAX_FORWARDED_CLAIMS {
             self.answer(
                 request.ticket,
-                ControlAnswer::Claim(ClaimDecision::Unavailable(OWNER_RETRY_MS)),
+                ControlAnswer::Claim(ClaimDecision::Unavailable(OWNER_RETRY_AFTER_MS)),
             );
             return;
         }
@@ -67,13 +67,13 @@
             attempt: request.attempt.clone(),
             time_left_ms: request.deadline.since(now),
         };
-        let waiting = OwnerClaim {
+        let forwarded = ForwardedClaim {
             worker_ticket: request.ticket,
             key: request.key,
             attempt: request.attempt,
             deadline: request.deadline,
         };
-        self.owner_claims.insert(ticket, waiting);
+        self.forwarded_claims.insert(ticket, forwarded);
         self.actions
             .push(ControlAction::SendClaim(ticket, owner, message));
     }
@@ -88,7 +88,7 @@
         let Ok(digest) = u128::from_str_radix(&claim.digest, 16) else {
             self.answer(
                 ticket,
-                ControlAnswer::Claim(ClaimDecision::Unavailable(OWNER_RETRY_MS)),
+                ControlAnswer::Claim(ClaimDecision::Unavailable(OWNER_RETRY_AFTER_MS)),
             );
             return;
         };
@@ -102,7 +102,7 @@
             deadline: now.plus(claim.time_left_ms),
         };
         let actions = self.claims.on_claim(request, now, wall);
-        self.run_claims(actions);
+        self.run_claim_actions(actions);
     }
 
     pub(super) fn on_peer_claim_done(
@@ -111,33 +111,33 @@
         decision: Option<ClaimDecision>,
         now: Moment,
     ) {
-        let Some(claim) = self.owner_claims.remove(&ticket) else {
+        let Some(claim) = self.forwarded_claims.remove(&ticket) else {
             return;
         };
         match decision {
             Some(decision) => self.answer(claim.worker_ticket, ControlAnswer::Claim(decision)),
-            None => self.give_up_claim(&claim, now),
+            None => self.abort_claim(&claim, now),
         }
     }
 
-    pub(super) fn expire_owner_claims(&mut self, now: Moment) {
-        let late: Vec<u64> = self
-            .owner_claims
+    pub(super) fn expire_forwarded_claims(&mut self, now: Moment) {
+        let expired: Vec<u64> = self
+            .forwarded_claims
             .iter()
             .filter(|(_, claim)| now >= claim.deadline)
             .map(|(&ticket, _)| ticket)
             .collect();
-        for ticket in late {
-            if let Some(claim) = self.owner_claims.remove(&ticket) {
-                self.give_up_claim(&claim, now);
+        for ticket in expired {
+            if let Some(claim) = self.forwarded_claims.remove(&ticket) {
+                self.abort_claim(&claim, now);
             }
         }
     }
 
     /// Ends a claim that its owner did not decide. Nothing was sent to a server and nothing will
     /// be, so the key is released in case the owner did grant it.
-    fn give_up_claim(&mut self, claim: &OwnerClaim, now: Moment) {
-        let decision = ClaimDecision::Unavailable(OWNER_RETRY_MS);
+    fn abort_claim(&mut self, claim: &ForwardedClaim, now: Moment) {
+        let decision = ClaimDecision::Unavailable(OWNER_RETRY_AFTER_MS);
         self.answer(claim.worker_ticket, ControlAnswer::Claim(decision));
         self.on_settle(&claim.key, claim.attempt.clone(), None, now);
     }
@@ -150,7 +150,7 @@
         now: Moment,
     ) {
         let Some(owner) = self.shard_owner(key.shard(claim_role::SHARD_COUNT)) else {
-            self.settle_here(key.digest, attempt, status, now);
+            self.settle_locally(key.digest, attempt, status, now);
             return;
         };
         let message = PeerSettle {
@@ -163,11 +163,11 @@
 
     pub(super) fn on_peer_settle(&mut self, settle: &PeerSettle, now: Moment) {
         if let Ok(digest) = u128::from_str_radix(&settle.digest, 16) {
-            self.settle_here(digest, settle.attempt.clone(), settle.status, now);
+            self.settle_locally(digest, settle.attempt.clone(), settle.status, now);
         }
     }
 
-    fn settle_here(
+    fn settle_locally(
         &mut self,
         digest: u128,
         attempt: ClaimAttempt,
@@ -188,7 +188,7 @@
         self.answer(ticket, ControlAnswer::Claim(decision));
     }
 
-    pub(super) fn run_claims(&mut self, actions: Vec<ClaimAction>) {
+    pub(super) fn run_claim_actions(&mut self, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Read(shard) => {
--- a/src/controller/configuration.rs
+++ b/src/controller/configuration.rs
@@ -15,7 +15,7 @@
 use crate::topology::SteeringTopology;
 
 impl HostController {
-    pub(super) fn run_config(&mut self, actions: Vec<ConfigAction>) {
+    pub(super) fn run_config_actions(&mut self, actions: Vec<ConfigAction>) {
         for action in actions {
             match action {
                 ConfigAction::Read => {
@@ -59,12 +59,12 @@
     pub(super) fn install(&mut self, object: &ConfigObject) {
         let topology = SteeringTopology::from_declaration(object.generation, &object.declaration);
         let topology = sync::Arc::new(topology);
-        self.start_drain_clock(&topology);
-        let same_map = self
+        self.start_drain_timer(&topology);
+        let same_block_map = self
             .topology
             .as_ref()
-            .is_some_and(|installed| has_same_map(installed, &topology));
-        if !same_map {
+            .is_some_and(|installed| has_same_block_map(installed, &topology));
+        if !same_block_map {
             self.map = Some(sync::Arc::new(BlockMap::from_topology(&topology)));
         }
         self.topology = Some(sync::Arc::clone(&topology));
@@ -90,14 +90,14 @@
         match object {
             Some(object) => {
                 let actions = self.config.on_offer(object);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             None => self.config.on_fetch_failed(),
         }
     }
 }
 
-fn has_same_map(old: &SteeringTopology, new: &SteeringTopology) -> bool {
+fn has_same_block_map(old: &SteeringTopology, new: &SteeringTopology) -> bool {
     let drained_halls = |declaration: &SteeringDeclaration| {
         let halls = declaration
             .drains
--- a/src/controller/grants.rs
+++ b/src/controller/grants.rs
@@ -13,17 +13,17 @@
             identity: self.membership.me().identity.clone(),
             control_address: self.membership.me().control_address,
             hall: self.membership.me().hall.clone(),
-            leaving: self.gives_units_back(now),
+            leaving: self.releases_units(now),
             installed: self
                 .workers
                 .iter()
                 .map(|worker| worker.sequence)
                 .min()
                 .unwrap_or(0),
-            usage: self.joined_usage(),
+            usage: self.total_usage(),
         };
         for worker in &mut self.workers {
-            clear_counts(&mut worker.usage);
+            reset_counters(&mut worker.usage);
         }
         if self.planner.is_leader() {
             let grants = self.planner.on_report(report, now);
@@ -40,20 +40,20 @@
         }
     }
 
-    pub(super) fn joined_usage(&self) -> Vec<PlaceUsage> {
-        let mut joined: Vec<PlaceUsage> = Vec::new();
+    pub(super) fn total_usage(&self) -> Vec<PlaceUsage> {
+        let mut total: Vec<PlaceUsage> = Vec::new();
         for usage in self.workers.iter().flat_map(|worker| &worker.usage) {
-            match joined.iter_mut().find(|entry| entry.key == usage.key) {
+            match total.iter_mut().find(|entry| entry.key == usage.key) {
                 Some(entry) => {
                     entry.in_use = entry.in_use.saturating_add(usage.in_use);
                     entry.load_milli = entry.load_milli.saturating_add(usage.load_milli);
                     entry.completed = entry.completed.saturating_add(usage.completed);
                     entry.refused = entry.refused.saturating_add(usage.refused);
                 }
-                None => joined.push(usage.clone()),
+                None => total.push(usage.clone()),
             }
         }
-        joined
+        total
     }
 
     pub(super) fn on_grants(&mut self, grants: Option<HostGrants>) {
@@ -80,12 +80,12 @@
         for entry in before.usage {
             match worker.usage.iter_mut().find(|newer| newer.key == entry.key) {
                 Some(newer) => {
-                    newer.load_milli = smoothed(entry.load_milli, newer.load_milli);
+                    newer.load_milli = average_load(entry.load_milli, newer.load_milli);
                     newer.completed += entry.completed;
                     newer.refused += entry.refused;
                 }
                 None if entry.load_milli > 0 => {
-                    let load_milli = smoothed(entry.load_milli, 0);
+                    let load_milli = average_load(entry.load_milli, 0);
                     worker.usage.push(PlaceUsage {
                         in_use: 0,
                         load_milli,
@@ -100,7 +100,7 @@
 }
 
 /// Resets the counters after a report. The load stays, since it is an average.
-fn clear_counts(usage: &mut Vec<PlaceUsage>) {
+fn reset_counters(usage: &mut Vec<PlaceUsage>) {
     for entry in usage.iter_mut() {
         entry.completed = 0;
         entry.refused = 0;
@@ -109,6 +109,6 @@
 }
 
 /// The average load after one more sample. Integer division makes it reach zero.
-const fn smoothed(before: u32, sample: u32) -> u32 {
+const fn average_load(before: u32, sample: u32) -> u32 {
     (before.saturating_mul(3).saturating_add(sample)) / 4
 }
--- a/src/controller/leaving.rs
+++ b/src/controller/leaving.rs
@@ -3,7 +3,7 @@
 use std::sync;
 
 use super::{
-    GIVE_BACK_MS, HostController, LEAVE_GRACE_MS, LEAVING_LIFE_MS, MAX_LEAVING, STOP_ALARM_MS,
+    HostController, LEAVE_GRACE_MS, LEAVING_TTL_MS, MAX_LEAVING, RELEASE_GRACE_MS, STOP_ALARM_MS,
 };
 use crate::control_message::ControlAction;
 use crate::declaration::DrainKind;
@@ -25,12 +25,12 @@
 
     /// Whether a leaving host releases its units. It keeps them while callers may still arrive
     /// through cached look-ups.
-    pub(super) fn gives_units_back(&self, now: Moment) -> bool {
+    pub(super) fn releases_units(&self, now: Moment) -> bool {
         self.leaving_since
             .is_some_and(|since| now.since(since) >= LEAVE_GRACE_MS)
     }
 
-    pub(super) fn note_leaving_server(&mut self, name: String, since: Moment) {
+    pub(super) fn add_leaving_server(&mut self, name: String, since: Moment) {
         let known = self.leaving_servers.contains_key(&name);
         if !known && self.leaving_servers.len() >= MAX_LEAVING {
             return;
@@ -46,7 +46,7 @@
     pub(super) fn expire_leaving_servers(&mut self, now: Moment) {
         let before = self.leaving_servers.len();
         self.leaving_servers
-            .retain(|_, since| now.since(*since) < LEAVING_LIFE_MS);
+            .retain(|_, since| now.since(*since) < LEAVING_TTL_MS);
         if self.leaving_servers.len() != before {
             self.push_leaving_servers();
         }
@@ -58,7 +58,7 @@
             .map(|server| server.name.clone())
             .collect();
         for name in listed {
-            self.note_leaving_server(name, now);
+            self.add_leaving_server(name, now);
         }
     }
 
@@ -80,7 +80,7 @@
             return;
         };
         let in_flight: u32 = self.workers.iter().map(|worker| worker.in_flight).sum();
-        if now.since(since) >= LEAVE_GRACE_MS + GIVE_BACK_MS && in_flight == 0 {
+        if now.since(since) >= LEAVE_GRACE_MS + RELEASE_GRACE_MS && in_flight == 0 {
             self.actions.push(ControlAction::Finished);
         } else if now.since(since) >= STOP_ALARM_MS && !self.stop_alarmed {
             self.stop_alarmed = true;
@@ -89,7 +89,7 @@
     }
 
     /// Starts the timer of a drain, which ends when nothing runs on the drained servers any more.
-    pub(super) fn start_drain_clock(&mut self, topology: &SteeringTopology) {
+    pub(super) fn start_drain_timer(&mut self, topology: &SteeringTopology) {
         let before = self
             .topology
             .as_ref()
@@ -106,12 +106,12 @@
             return;
         };
         let generation = self.config.generation();
-        let in_force = self
+        let active = self
             .workers
             .iter()
             .all(|worker| worker.generation == generation);
         let draining: u32 = self.workers.iter().map(|worker| worker.draining).sum();
-        if in_force && draining == 0 {
+        if active && draining == 0 {
             let took = now.since(since);
             self.drain_since = None;
             self.last_drain_ms = Some(took);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -32,24 +32,24 @@
 /// Leaving servers that are remembered.
 pub const MAX_LEAVING: usize = 1_000;
 /// A leaving server may serve again if it was not reported as leaving for this long.
-const LEAVING_LIFE_MS: u64 = 60_000;
+const LEAVING_TTL_MS: u64 = 60_000;
 /// Leaving servers in one heartbeat.
-const LEAVING_PER_HEARTBEAT: usize = 16;
+const MAX_LEAVING_PER_HEARTBEAT: usize = 16;
 /// Interval of reports to the planner.
-const REPORT_MS: u64 = 500;
+const REPORT_INTERVAL_MS: u64 = 500;
 /// Interval of reads of the platform's host list.
-const HOSTS_MS: u64 = 2_000;
+const HOSTS_INTERVAL_MS: u64 = 2_000;
 /// The same interval on a host that is neither the planner nor its hall's watcher. Such a host
 /// learns relevant changes by heartbeats.
-const HOSTS_IDLE_MS: u64 = 20_000;
+const HOSTS_IDLE_INTERVAL_MS: u64 = 20_000;
 /// Delay after a failed watch.
-const WATCH_RETRY_MS: u64 = 500;
+const WATCH_RETRY_DELAY_MS: u64 = 500;
 /// A leaving host keeps serving for this long, until look-ups no longer name it. This covers the
 /// lifetime of look-up answers and the time in which its leaving spreads.
 pub const LEAVE_GRACE_MS: u64 = 3_500;
 /// After that it has this long to release its units, so that nobody has to wait for the platform's
 /// list.
-const GIVE_BACK_MS: u64 = 2_000;
+const RELEASE_GRACE_MS: u64 = 2_000;
 /// A stop that takes longer than this raises an alarm; no request is cut off.
 const STOP_ALARM_MS: u64 = 60_000;
 
@@ -83,7 +83,7 @@
     map: Option<sync::Arc<BlockMap>>,
     grants: HostGrants,
     leaving_servers: collections::BTreeMap<String, Moment>,
-    owner_claims: collections::HashMap<u64, claims::OwnerClaim>,
+    forwarded_claims: collections::HashMap<u64, claims::ForwardedClaim>,
     next_ticket: u64,
     platform_ok: bool,
     was_cut_off: bool,
@@ -132,8 +132,8 @@
             map: None,
             grants: HostGrants::default(),
             leaving_servers: collections::BTreeMap::new(),
-            owner_claims: collections::HashMap::new(),
-            next_ticket: claims::FIRST_OWN_TICKET,
+            forwarded_claims: collections::HashMap::new(),
+            next_ticket: claims::FIRST_CONTROLLER_TICKET,
             platform_ok: true,
             was_cut_off: false,
             was_leader: false,
@@ -188,10 +188,10 @@
             ControlInput::Fetched(object) => self.on_fetched(object.as_ref()),
             ControlInput::Change(request) => {
                 let actions = self.config.on_change(request, now);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             ControlInput::Usage(usage) => self.on_usage(usage, now),
-            ControlInput::ServerLeaving(name) => self.note_leaving_server(name, now),
+            ControlInput::ServerLeaving(name) => self.add_leaving_server(name, now),
             ControlInput::Status(ticket) => {
                 let status = Box::new(self.status(now));
                 self.answer(ticket, ControlAnswer::Status(status));
@@ -231,21 +231,21 @@
 
     fn on_tick(&mut self, now: Moment, wall: &WallWindow) {
         let config = self.config.tick(now);
-        self.run_config(config);
+        self.run_config_actions(config);
         self.tick_planner(now);
         let claims = self.claims.tick(now, wall);
-        self.run_claims(claims);
-        self.expire_owner_claims(now);
+        self.run_claim_actions(claims);
+        self.expire_forwarded_claims(now);
         if now >= self.next_heartbeat {
             self.next_heartbeat = now.plus(membership::HEARTBEAT_MS);
             self.send_heartbeats(now);
         }
         if now >= self.next_report {
-            self.next_report = now.plus(REPORT_MS);
+            self.next_report = now.plus(REPORT_INTERVAL_MS);
             self.send_report(now);
         }
         if now >= self.next_hosts {
-            self.next_hosts = now.plus(self.hosts_period_ms());
+            self.next_hosts = now.plus(self.hosts_interval_ms());
             self.actions.push(ControlAction::Platform(
                 CallPurpose::Hosts,
                 PlatformCall::Hosts,
@@ -256,11 +256,11 @@
         self.check_stop(now);
     }
 
-    fn hosts_period_ms(&self) -> u64 {
+    fn hosts_interval_ms(&self) -> u64 {
         if self.planner.is_leader() || self.is_hall_watcher() {
-            HOSTS_MS
+            HOSTS_INTERVAL_MS
         } else {
-            HOSTS_IDLE_MS
+            HOSTS_IDLE_INTERVAL_MS
         }
     }
 
@@ -274,7 +274,7 @@
             rank: self.planner_rank(now),
         };
         let action = self.planner.tick(&view, now);
-        self.run_planner(action);
+        self.run_planner_action(action);
     }
 
     /// The host's rank among the candidates, which are ordered by a hash of their names; `None` if
@@ -291,7 +291,7 @@
         Some(ahead.count() as u64)
     }
 
-    fn run_planner(&mut self, action: Option<PlannerAction>) {
+    fn run_planner_action(&mut self, action: Option<PlannerAction>) {
         let call = match action {
             None => return,
             Some(PlannerAction::Read) => PlatformCall::Read(ObjectName::plan()),
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,6 +1,6 @@
 //! Sends heartbeats to peers and applies theirs.
 
-use super::{HostController, LEAVING_LIFE_MS, LEAVING_PER_HEARTBEAT};
+use super::{HostController, LEAVING_TTL_MS, MAX_LEAVING_PER_HEARTBEAT};
 use crate::control_message::{ControlAction, ControlAnswer, LeavingServer, PeerHeartbeat};
 use crate::membership::HeartbeatTarget;
 use crate::timer::Moment;
@@ -12,7 +12,7 @@
         full: bool,
         now: Moment,
     ) -> PeerHeartbeat {
-        let leaving = self.leaving_servers.iter().take(LEAVING_PER_HEARTBEAT);
+        let leaving = self.leaving_servers.iter().take(MAX_LEAVING_PER_HEARTBEAT);
         let leaving_servers = leaving
             .map(|(name, &since)| LeavingServer {
                 name: name.clone(),
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn on_heartbeat(&mut self, ticket: u64, heartbeat: &PeerHeartbeat, now: Moment) {
-        self.learn(heartbeat, now);
+        self.apply_heartbeat(heartbeat, now);
         let name = heartbeat.from.identity.name.clone();
         let answer = self.heartbeat(Some(&name), heartbeat.full, now);
         self.answer(ticket, ControlAnswer::Heartbeat(answer));
@@ -53,22 +53,26 @@
         now: Moment,
     ) {
         match (answer, &target.name) {
-            (Some(heartbeat), _) => self.learn(heartbeat, now),
+            (Some(heartbeat), _) => self.apply_heartbeat(heartbeat, now),
             (None, Some(name)) => self.membership.on_missed(name, now),
             (None, None) => {}
         }
     }
 
-    pub(super) fn learn(&mut self, heartbeat: &PeerHeartbeat, now: Moment) {
+    pub(super) fn apply_heartbeat(&mut self, heartbeat: &PeerHeartbeat, now: Moment) {
         self.membership
             .on_contact(&heartbeat.from, &heartbeat.rumors, now);
         if let Some(holder) = &heartbeat.plan_holder {
             self.planner.observe(heartbeat.plan_sequence, holder, now);
         }
-        for server in heartbeat.leaving_servers.iter().take(LEAVING_PER_HEARTBEAT) {
-            if server.age_ms < LEAVING_LIFE_MS {
+        for server in heartbeat
+            .leaving_servers
+            .iter()
+            .take(MAX_LEAVING_PER_HEARTBEAT)
+        {
+            if server.age_ms < LEAVING_TTL_MS {
                 let since = Moment(now.0.saturating_sub(server.age_ms));
-                self.note_leaving_server(server.name.clone(), since);
+                self.add_leaving_server(server.name.clone(), since);
             }
         }
         let peers = self.membership.offered().len().saturating_sub(1);
@@ -76,6 +80,6 @@
         let actions = self
             .config
             .on_peer_generation(peer, heartbeat.generation, peers, now);
-        self.run_config(actions);
+        self.run_config_actions(actions);
     }
 }
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -2,7 +2,7 @@
 
 use std::net;
 
-use super::{HostController, WATCH_RETRY_MS};
+use super::{HostController, WATCH_RETRY_DELAY_MS};
 use crate::claim_role::WallWindow;
 use crate::config_object::ConfigObject;
 use crate::control_message::{CallPurpose, ControlAction};
@@ -23,28 +23,28 @@
         now: Moment,
         wall: &WallWindow,
     ) {
-        self.note_platform(&reply);
+        self.update_platform_state(&reply);
         match (purpose, reply) {
             (CallPurpose::Config, PlatformReply::Read(result)) => {
                 let actions = self.config.on_read(&result, now);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             (CallPurpose::Config, PlatformReply::Write(result)) => {
                 let actions = self.config.on_write(result, now);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             (CallPurpose::Plan, PlatformReply::Read(result)) => self.on_plan_read(&result, now),
             (CallPurpose::Plan, PlatformReply::Write(result)) => {
                 let action = self.planner.on_write(result, now);
-                self.run_planner(action);
+                self.run_planner_action(action);
             }
             (CallPurpose::Claim(shard), PlatformReply::Read(result)) => {
                 let actions = self.claims.on_read(shard, &result, now, wall);
-                self.run_claims(actions);
+                self.run_claim_actions(actions);
             }
             (CallPurpose::Claim(shard), PlatformReply::Write(result)) => {
                 let actions = self.claims.on_write(shard, result, now, wall);
-                self.run_claims(actions);
+                self.run_claim_actions(actions);
             }
             (CallPurpose::Watch, PlatformReply::Watch(result)) => self.on_watch(result, now),
             (CallPurpose::Hosts, PlatformReply::Hosts(Some(list))) => {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn note_platform(&mut self, reply: &PlatformReply) {
+    pub(super) fn update_platform_state(&mut self, reply: &PlatformReply) {
         let failed = matches!(
             reply,
             PlatformReply::Read(ReadResult::Failed)
@@ -85,7 +85,7 @@
             rank: self.planner_rank(now),
         };
         let action = self.planner.on_read(result, &view, now);
-        self.run_planner(action);
+        self.run_planner_action(action);
     }
 
     /// Starts a watch if this host is the watcher of its hall. One host of each hall watches, so
@@ -117,7 +117,7 @@
     pub(super) fn on_watch(&mut self, result: Option<WatchReply>, now: Moment) {
         self.watch.running = false;
         let Some(reply) = result else {
-            self.watch.retry_at = now.plus(WATCH_RETRY_MS);
+            self.watch.retry_at = now.plus(WATCH_RETRY_DELAY_MS);
             return;
         };
         self.watch.revision = reply.revision;
@@ -142,7 +142,7 @@
         match ConfigObject::from_bytes(value.to_string().as_bytes()) {
             Ok(object) => {
                 let actions = self.config.on_offer(&object);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             Err(fault) => self.event(EventCode::ConfigRejected, fault.to_string()),
         }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -35,7 +35,7 @@
     }
 
     fn place_statuses(&self) -> Vec<PlaceStatus> {
-        let usage = self.joined_usage();
+        let usage = self.total_usage();
         let mut places: Vec<PlaceStatus> = self
             .grants
             .grants
