--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -72,24 +72,24 @@
     draft
         .hosts
         .sort_by(|left, right| left.identity.cmp(&right.identity));
-    let mut gone = Vec::new();
+    let mut removed = Vec::new();
     let known = draft.hosts.clone();
     for host in &mut draft.hosts {
-        if is_superseded(host, &known) || (roster.is_gone(host) && !reports_now(host, reports)) {
-            gone.push(host.identity.clone());
+        if is_superseded(host, &known) || (roster.is_gone(host) && !is_reporting(host, reports)) {
+            removed.push(host.identity.clone());
         } else if host.listed_at == 0 {
             host.listed_at = roster.listed_version(host).unwrap_or(0);
         }
     }
-    draft.hosts.retain(|host| !gone.contains(&host.identity));
-    for identity in &gone {
+    draft.hosts.retain(|host| !removed.contains(&host.identity));
+    for identity in &removed {
         for budget in &mut draft.budgets {
             budget.release(identity);
         }
     }
 }
 
-fn reports_now(
+fn is_reporting(
     host: &plan::PlanHost,
     reports: &collections::HashMap<String, StoredReport>,
 ) -> bool {
@@ -150,13 +150,13 @@
     for link in &view.topology.declaration.links {
         for (from, to) in [(&link.from, &link.to), (&link.to, &link.from)] {
             let key = budget::PlaceKey::with_route(&service.entry.name, from, to);
-            let seen = gather_evidence(&key, service, to, loads, evidence, view.topology);
+            let ramp_evidence = collect_evidence(&key, service, to, loads, evidence, view.topology);
             let start = ramp::RouteRamp::initial_allowance(&rule);
             let ramps = &mut leader.ramps;
             let ramp = ramps
                 .entry(key.clone())
                 .or_insert_with(|| ramp::RouteRamp::with_allowance(start, now));
-            if ramp.step(&rule, &seen, now) {
+            if ramp.step(&rule, &ramp_evidence, now) {
                 clear_evidence(service, to, evidence, view.topology);
             }
             limits.push(PlaceLimit {
@@ -167,7 +167,7 @@
     }
 }
 
-fn gather_evidence(
+fn collect_evidence(
     key: &budget::PlaceKey,
     service: &topology::ServiceTopology,
     to: &str,
@@ -178,17 +178,17 @@
     let of_place = loads.iter().filter(|((_, place), _)| place == key);
     let milli = budget::total(of_place.map(|(_, load)| load.milli));
     let demand = milli.div_ceil(1_000);
-    let mut seen = ramp::RampEvidence {
+    let mut ramp_evidence = ramp::RampEvidence {
         demand,
         ..ramp::RampEvidence::default()
     };
     for hall in receiving_halls(service, to, topology) {
         if let Some(&(completed, refused)) = evidence.get(&hall) {
-            seen.completed = seen.completed.saturating_add(completed);
-            seen.refused = seen.refused.saturating_add(refused);
+            ramp_evidence.completed = ramp_evidence.completed.saturating_add(completed);
+            ramp_evidence.refused = ramp_evidence.refused.saturating_add(refused);
         }
     }
-    seen
+    ramp_evidence
 }
 
 fn clear_evidence(
@@ -257,12 +257,12 @@
             load_milli: loads
                 .get(&(host.identity.name.clone(), budget.key.clone()))
                 .map_or(0, |load| load.milli),
-            is_near: is_near(&budget.key, &host.hall, topology),
+            is_near: is_local(&budget.key, &host.hall, topology),
         })
         .collect();
-    let reserved = silent_units(budget, &hosts);
+    let reserved = inactive_units(budget, &hosts);
     let targets = allocation::split_units(budget.limit.saturating_sub(reserved), &claimants);
-    lower_others(budget, reports, sequence);
+    lower_leaving(budget, reports, sequence);
     if !is_rebalance_due(budget, &hosts, &targets) {
         return;
     }
@@ -275,18 +275,18 @@
 }
 
 /// Units held by hosts that don't participate: silent or leaving ones, and earlier incarnations.
-fn silent_units(place: &budget::PlaceBudget, hosts: &[&report::HostReport]) -> u32 {
-    let takes_part =
+fn inactive_units(place: &budget::PlaceBudget, hosts: &[&report::HostReport]) -> u32 {
+    let participates =
         |identity: &member::HostIdentity| hosts.iter().any(|host| host.identity == *identity);
     let others = place
         .entries
         .iter()
-        .filter(|entry| !takes_part(&entry.host));
+        .filter(|entry| !participates(&entry.host));
     budget::total(others.map(|entry| entry.held))
 }
 
 /// Lowers the grants of leaving hosts that still report to zero.
-fn lower_others(
+fn lower_leaving(
     budget: &mut budget::PlaceBudget,
     reports: &collections::HashMap<String, StoredReport>,
     sequence: u64,
@@ -313,7 +313,7 @@
 }
 
 /// Whether a host is in the region of a hall, or in a region at either end of a route.
-fn is_near(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
+fn is_local(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
     let region_name = |hall: &str| {
         let region = topology
             .hall_id(hall)
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -17,15 +17,15 @@
 /// A follower takes over if the sequence has not changed for this long.
 pub const LEASE_MS: u64 = 4_000;
 /// Additional wait of each further candidate, by rank.
-const CANDIDATE_STEP_MS: u64 = 1_000;
+const CANDIDATE_DELAY_MS: u64 = 1_000;
 /// The planner writes at least this often to renew its lease.
-const RENEW_MS: u64 = 1_000;
+const RENEW_INTERVAL_MS: u64 = 1_000;
 /// Interval of rebalancing.
-const REBALANCE_MS: u64 = 500;
+const REBALANCE_INTERVAL_MS: u64 = 500;
 /// A host whose last report is older gets no new grants.
 pub const REPORT_LIFE_MS: u64 = 3_000;
 /// A reported load expires after this long.
-const LOAD_LIFE_MS: u64 = 5_000;
+const LOAD_MAX_AGE_MS: u64 = 5_000;
 /// Units move if a host's target exceeds its grant by more than this fraction of the grant.
 const MOVE_DIVISOR: u32 = 8;
 /// Each report replaces this fraction of the average load: about four seconds.
@@ -59,13 +59,13 @@
 #[derive(Debug)]
 struct StoredReport {
     report: report::HostReport,
-    heard: timer::Moment,
+    received_at: timer::Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct LoadEntry {
     milli: u32,
-    heard: timer::Moment,
+    received_at: timer::Moment,
 }
 
 #[derive(Debug)]
@@ -184,29 +184,34 @@
             return Some(grants);
         }
         for usage in &report.usage {
-            self.note_usage(&name, usage, now);
+            self.record_usage(&name, usage, now);
         }
-        self.reports
-            .insert(name, StoredReport { report, heard: now });
+        self.reports.insert(
+            name,
+            StoredReport {
+                report,
+                received_at: now,
+            },
+        );
         Some(grants)
     }
 
-    fn note_usage(&mut self, host: &str, usage: &report::PlaceUsage, now: timer::Moment) {
+    fn record_usage(&mut self, host: &str, usage: &report::PlaceUsage, now: timer::Moment) {
         let counts = self.evidence.entry(usage.key.clone()).or_default();
         counts.0 = counts.0.saturating_add(u64::from(usage.completed));
         counts.1 = counts.1.saturating_add(u64::from(usage.refused));
         let entry = self.loads.entry((host.to_owned(), usage.key.clone()));
         let load = entry.or_insert(LoadEntry {
             milli: usage.load_milli,
-            heard: now,
+            received_at: now,
         });
-        load.milli = averaged(load.milli, usage.load_milli);
-        load.heard = now;
+        load.milli = average_load(load.milli, usage.load_milli);
+        load.received_at = now;
     }
 
     /// Expires old reports and returns the next call to the platform, if one is due.
     pub fn tick(&mut self, view: &PlannerView<'_>, now: timer::Moment) -> Option<PlannerAction> {
-        self.forget_old(now);
+        self.expire_reports(now);
         if let PlannerState::Leader(_) = self.state {
             return self.tick_leader(view, now);
         }
@@ -216,11 +221,11 @@
         None
     }
 
-    fn forget_old(&mut self, now: timer::Moment) {
+    fn expire_reports(&mut self, now: timer::Moment) {
         self.reports
-            .retain(|_, stored| now.since(stored.heard) <= REPORT_LIFE_MS);
+            .retain(|_, stored| now.since(stored.received_at) <= REPORT_LIFE_MS);
         self.loads
-            .retain(|_, load| now.since(load.heard) <= LOAD_LIFE_MS);
+            .retain(|_, load| now.since(load.received_at) <= LOAD_MAX_AGE_MS);
     }
 
     fn tick_follower(
@@ -228,9 +233,9 @@
         view: &PlannerView<'_>,
         now: timer::Moment,
     ) -> Option<PlannerAction> {
-        let patience = LEASE_MS + view.rank? * CANDIDATE_STEP_MS;
-        let fresh = self.seen_sequence > 0 && now.since(self.seen_at) < patience;
-        if fresh || now < self.retry_at {
+        let timeout_ms = LEASE_MS + view.rank? * CANDIDATE_DELAY_MS;
+        let lease_active = self.seen_sequence > 0 && now.since(self.seen_at) < timeout_ms;
+        if lease_active || now < self.retry_at {
             return None;
         }
         self.state = PlannerState::Reading;
@@ -241,12 +246,12 @@
         let PlannerState::Leader(leader) = &mut self.state else {
             return None;
         };
-        if view.rank.is_none() && now.since(leader.last_write) >= RENEW_MS {
+        if view.rank.is_none() && now.since(leader.last_write) >= RENEW_INTERVAL_MS {
             self.state = PlannerState::Follower;
             self.retry_at = now.plus(LEASE_MS);
             return None;
         }
-        if now.since(leader.last_rebalance) < REBALANCE_MS {
+        if now.since(leader.last_rebalance) < REBALANCE_INTERVAL_MS {
             return None;
         }
         leader.last_rebalance = now;
@@ -262,7 +267,7 @@
         let changed = draft.budgets != leader.committed.budgets
             || draft.hosts != leader.committed.hosts
             || draft.generation != leader.committed.generation;
-        if !changed && now.since(leader.last_write) < RENEW_MS {
+        if !changed && now.since(leader.last_write) < RENEW_INTERVAL_MS {
             return None;
         }
         let Ok(bytes) = draft.to_bytes() else {
@@ -290,7 +295,7 @@
         now: timer::Moment,
     ) -> Option<PlannerAction> {
         match std::mem::replace(&mut self.state, PlannerState::Follower) {
-            PlannerState::Reading => self.take_over(result, view, now),
+            PlannerState::Reading => self.take_leadership(result, view, now),
             PlannerState::Checking { draft, leader } => {
                 self.check_write(result, draft, leader, now)
             }
@@ -301,13 +306,13 @@
         }
     }
 
-    fn take_over(
+    fn take_leadership(
         &mut self,
         result: &platform_call::ReadResult,
         view: &PlannerView<'_>,
         now: timer::Moment,
     ) -> Option<PlannerAction> {
-        self.retry_at = now.plus(RENEW_MS);
+        self.retry_at = now.plus(RENEW_INTERVAL_MS);
         let (before, expected) = match result {
             platform_call::ReadResult::Found { bytes, version } => (
                 Some(plan::SteeringPlan::from_bytes(bytes).ok()?),
@@ -405,7 +410,7 @@
         now: timer::Moment,
     ) {
         self.observe(draft.sequence, &self.me.clone(), now);
-        let mut leader = leader.unwrap_or_else(|| Box::new(fresh_leader(&draft, now)));
+        let mut leader = leader.unwrap_or_else(|| Box::new(new_leader_state(&draft, now)));
         leader.committed = draft;
         leader.version = version;
         leader.last_write = now;
@@ -415,14 +420,14 @@
 
 /// The average load after one more report. It changes slowly on purpose: units that move from one
 /// host to another are usable by neither, so a split that follows every fluctuation wastes them.
-fn averaged(before: u32, report: u32) -> u32 {
+fn average_load(before: u32, report: u32) -> u32 {
     let sum = u64::from(before) * (AVERAGE_DIVISOR - 1) + u64::from(report);
     u32::try_from(sum / AVERAGE_DIVISOR).unwrap_or(u32::MAX)
 }
 
 /// The state of a new planner. It continues the ramps at the plan's limits and grows none of them
 /// for a whole step.
-fn fresh_leader(draft: &plan::SteeringPlan, now: timer::Moment) -> LeaderState {
+fn new_leader_state(draft: &plan::SteeringPlan, now: timer::Moment) -> LeaderState {
     let routes = draft
         .budgets
         .iter()
