--- a/src/block_map.rs
+++ b/src/block_map.rs
@@ -168,18 +168,19 @@
 
 fn weighted_halls(topology: &topology::SteeringTopology) -> Vec<WeightedHall> {
     let halls = topology.halls.iter().enumerate();
-    let open = halls.filter(|(_, hall)| {
+    let available = halls.filter(|(_, hall)| {
         !topology
             .declaration
             .is_draining(declaration::DrainKind::Hall, &hall.name)
     });
-    open.map(|(index, hall)| WeightedHall {
-        hall: topology::HallId(u16::try_from(index).unwrap_or(NO_HALL)),
-        region: hall.region,
-        seed: xxh3::xxh3_64(hall.name.as_bytes()),
-        weight: f64::from(hall.capacity),
-    })
-    .collect()
+    available
+        .map(|(index, hall)| WeightedHall {
+            hall: topology::HallId(u16::try_from(index).unwrap_or(NO_HALL)),
+            region: hall.region,
+            seed: xxh3::xxh3_64(hall.name.as_bytes()),
+            weight: f64::from(hall.capacity),
+        })
+        .collect()
 }
 
 fn hash_block(start: u128) -> u64 {
@@ -202,8 +203,8 @@
 
 /// `-weight / ln(u)` for a uniform `u` in (0, 1), derived from both hashes.
 fn rendezvous_score(block: u64, seed: u64, weight: f64) -> f64 {
-    const UNIT: f64 = 1.0 / (1_u64 << 53) as f64;
+    const SCALE: f64 = 1.0 / (1_u64 << 53) as f64;
     let mixed = hash::mix(block ^ seed);
-    let uniform = ((mixed >> 11) as f64 + 0.5) * UNIT;
+    let uniform = ((mixed >> 11) as f64 + 0.5) * SCALE;
     -weight / uniform.ln()
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -6,15 +6,15 @@
 /// Weight of the newest answer in the moving averages.
 const AVERAGE_WEIGHT: f64 = 0.2;
 /// A reported load that is older is ignored.
-const CLAIM_LIFE_MS: u64 = 2_000;
+const REPORTED_LOAD_MAX_AGE_MS: u64 = 2_000;
 /// A server is ejected when its average failure rate exceeds this.
-const EJECT_FAILURES: f64 = 0.5;
+const MAX_FAILURE_RATE: f64 = 0.5;
 /// Duration of the first ejection; each further one in a row doubles it.
-const EJECT_MS: u64 = 2_000;
-const MAX_EJECT_DOUBLINGS: u32 = 4;
+const FIRST_EJECTION_MS: u64 = 2_000;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// Duration of the slow start of a new server, or of one back from ejection.
 const SLOW_START_MS: u64 = 10_000;
-const SLOW_START_FLOOR: f64 = 0.1;
+const MIN_SLOW_START_FACTOR: f64 = 0.1;
 
 /// The load that a server reports in its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,11 +31,11 @@
     in_flight: u32,
     /// `None` until the first answer.
     answer_ms: Option<f64>,
-    failures: f64,
+    failure_rate: f64,
     claim: Option<LoadClaim>,
     ejected_until: Option<timer::Moment>,
     ejections: u32,
-    warm_from: timer::Moment,
+    slow_start_from: timer::Moment,
     leaving: bool,
 }
 
@@ -43,15 +43,15 @@
     /// A server that was not used before; `cold` begins a slow start.
     #[must_use]
     pub const fn new(now: timer::Moment, cold: bool) -> Self {
-        let warm_from = if cold { now } else { timer::Moment(0) };
+        let slow_start_from = if cold { now } else { timer::Moment(0) };
         Self {
             in_flight: 0,
             answer_ms: None,
-            failures: 0.0,
+            failure_rate: 0.0,
             claim: None,
             ejected_until: None,
             ejections: 0,
-            warm_from,
+            slow_start_from,
             leaving: false,
         }
     }
@@ -77,8 +77,8 @@
         let answer_ms = answer_ms as f64;
         let before = self.answer_ms.unwrap_or(answer_ms);
         self.answer_ms = Some(before + AVERAGE_WEIGHT * (answer_ms - before));
-        self.failures -= AVERAGE_WEIGHT * self.failures;
-        if self.failures < AVERAGE_WEIGHT {
+        self.failure_rate -= AVERAGE_WEIGHT * self.failure_rate;
+        if self.failure_rate < AVERAGE_WEIGHT {
             self.ejections = 0;
         }
     }
@@ -86,14 +86,14 @@
     /// Records a failure: an error, a broken connection or a timeout. Ejects the server if it fails
     /// too often.
     pub fn on_failure(&mut self, now: timer::Moment) {
-        self.failures += AVERAGE_WEIGHT * (1.0 - self.failures);
-        if self.failures > EJECT_FAILURES && !self.is_ejected(now) {
-            let doublings = self.ejections.min(MAX_EJECT_DOUBLINGS);
-            let until = now.plus(EJECT_MS << doublings);
+        self.failure_rate += AVERAGE_WEIGHT * (1.0 - self.failure_rate);
+        if self.failure_rate > MAX_FAILURE_RATE && !self.is_ejected(now) {
+            let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
+            let until = now.plus(FIRST_EJECTION_MS << doublings);
             self.ejected_until = Some(until);
             self.ejections += 1;
-            self.failures = EJECT_FAILURES / 2.0;
-            self.warm_from = until;
+            self.failure_rate = MAX_FAILURE_RATE / 2.0;
+            self.slow_start_from = until;
         }
     }
 
@@ -125,15 +125,15 @@
     pub fn cost(&self, slots: u32, typical_ms: f64, now: timer::Moment) -> f64 {
         let claimed = self
             .claim
-            .filter(|claim| now.since(claim.at) <= CLAIM_LIFE_MS);
+            .filter(|claim| now.since(claim.at) <= REPORTED_LOAD_MAX_AGE_MS);
         let others = claimed.map_or(0, |claim| claim.in_use.saturating_sub(self.in_flight));
         let load = f64::from(self.in_flight + others + 1) / f64::from(slots.max(1));
-        load * self.answer_ms.unwrap_or(typical_ms).max(1.0) / self.warmth(now)
-            * (1.0 + 4.0 * self.failures)
+        load * self.answer_ms.unwrap_or(typical_ms).max(1.0) / self.slow_start_factor(now)
+            * (1.0 + 4.0 * self.failure_rate)
     }
 
-    fn warmth(&self, now: timer::Moment) -> f64 {
-        let age = now.since(self.warm_from).min(SLOW_START_MS) as f64 / SLOW_START_MS as f64;
-        SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * age
+    fn slow_start_factor(&self, now: timer::Moment) -> f64 {
+        let age = now.since(self.slow_start_from).min(SLOW_START_MS) as f64 / SLOW_START_MS as f64;
+        MIN_SLOW_START_FACTOR + (1.0 - MIN_SLOW_START_FACTOR) * age
     }
 }
--- a/src/lookup.rs
+++ b/src/lookup.rs
@@ -12,9 +12,9 @@
 /// stop being used within seconds.
 pub const LOOKUP_TTL_MS: u64 = 2_000;
 /// Maximum number of hosts in one answer.
-const RANKED_HOSTS: usize = 4;
+const MAX_HOSTS_PER_ANSWER: usize = 4;
 /// Number of different orders of equally near hosts, which spread the blocks over them.
-const VARIANTS: usize = 8;
+const VARIANT_COUNT: usize = 8;
 
 /// One entry host in an answer.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -92,11 +92,11 @@
     }
 
     fn render(&mut self, topology: &topology::SteeringTopology, members: &[member::MemberRecord]) {
-        let offered = offered_hosts(topology, members);
+        let advertised = advertised_hosts(topology, members);
         for service in &topology.services {
             for hall in 0..self.hall_count {
-                for variant in 0..VARIANTS {
-                    let hosts = rank_hosts(topology, &offered, hall, variant);
+                for variant in 0..VARIANT_COUNT {
+                    let hosts = rank_hosts(topology, &advertised, hall, variant);
                     self.answers.push(render_answer(&service.entry.name, hosts));
                 }
             }
@@ -112,19 +112,19 @@
         &self,
         service: &str,
         caller: net::IpAddr,
-        near: topology::HallId,
+        own_hall: topology::HallId,
     ) -> Result<Bytes, LookupFault> {
         let service = *self
             .services
             .get(service)
             .ok_or(LookupFault::ServiceUnknown)?;
         let place = self.map.find(caller).unwrap_or(block_map::BlockPlace {
-            hall: near,
+            hall: own_hall,
             hash: 0,
         });
-        let variant = usize::try_from(place.hash % VARIANTS as u64).unwrap_or_default();
+        let variant = usize::try_from(place.hash % VARIANT_COUNT as u64).unwrap_or_default();
         let hall = place.hall.index().min(self.hall_count - 1);
-        let position = (service * self.hall_count + hall) * VARIANTS + variant;
+        let position = (service * self.hall_count + hall) * VARIANT_COUNT + variant;
         self.answers
             .get(position)
             .cloned()
@@ -152,16 +152,16 @@
     }
 }
 
-struct OfferedHost<'m> {
+struct AdvertisedHost<'m> {
     record: &'m member::MemberRecord,
     hall: topology::HallId,
     region: topology::RegionId,
 }
 
-fn offered_hosts<'m>(
+fn advertised_hosts<'m>(
     topology: &topology::SteeringTopology,
     members: &'m [member::MemberRecord],
-) -> Vec<OfferedHost<'m>> {
+) -> Vec<AdvertisedHost<'m>> {
     let drained = |record: &member::MemberRecord| {
         topology
             .declaration
@@ -170,33 +170,34 @@
                 .declaration
                 .is_draining(declaration::DrainKind::Hall, &record.hall)
     };
-    let open = members
+    let available = members
         .iter()
         .filter(|record| record.is_offered() && !drained(record));
-    open.filter_map(|record| {
-        let hall = topology.hall_id(&record.hall)?;
-        Some(OfferedHost {
-            record,
-            hall,
-            region: topology.region_of(hall)?,
+    available
+        .filter_map(|record| {
+            let hall = topology.hall_id(&record.hall)?;
+            Some(AdvertisedHost {
+                record,
+                hall,
+                region: topology.region_of(hall)?,
+            })
         })
-    })
-    .collect()
+        .collect()
 }
 
 /// Ranks hosts: the same hall first, then the same region, then other regions by latency. Suspect
 /// hosts come last.
 fn rank_hosts<'m>(
     topology: &topology::SteeringTopology,
-    offered: &[OfferedHost<'m>],
+    advertised: &[AdvertisedHost<'m>],
     hall: usize,
     variant: usize,
 ) -> Vec<&'m member::MemberRecord> {
     let Some(home) = topology.halls.get(hall) else {
         return Vec::new();
     };
-    let mut order: Vec<&OfferedHost<'m>> = offered.iter().collect();
-    let mut random = rand::rngs::SmallRng::seed_from_u64((hall * VARIANTS + variant) as u64);
+    let mut order: Vec<&AdvertisedHost<'m>> = advertised.iter().collect();
+    let mut random = rand::rngs::SmallRng::seed_from_u64((hall * VARIANT_COUNT + variant) as u64);
     order.shuffle(&mut random);
     order.sort_by_key(|host| {
         let suspect = host.record.state == member::HostState::Suspect;
@@ -208,7 +209,7 @@
     });
     order
         .into_iter()
-        .take(RANKED_HOSTS)
+        .take(MAX_HOSTS_PER_ANSWER)
         .map(|host| host.record)
         .collect()
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -2,13 +2,13 @@
 //! can't multiply load.
 
 /// Retries that may accumulate.
-const MAX_SAVED: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// A token bucket that successes fill and retries empty.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     share: f64,
-    saved: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
@@ -22,7 +22,7 @@
     /// ```
     #[must_use]
     pub const fn with_share(share: f64) -> Self {
-        Self { share, saved: 1.0 }
+        Self { share, tokens: 1.0 }
     }
 
     /// Changes the share, after a new declaration.
@@ -32,15 +32,15 @@
 
     /// Records a successful request.
     pub fn on_success(&mut self) {
-        self.saved = (self.saved + self.share).min(MAX_SAVED);
+        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
     /// Takes one retry if one is available.
     pub fn try_retry(&mut self) -> bool {
-        if self.share <= 0.0 || self.saved < 1.0 {
+        if self.share <= 0.0 || self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -107,9 +107,9 @@
     service_ids: collections::HashMap<String, ServiceId>,
 }
 
-const LATENCY_UNKNOWN: u64 = 10_000;
+const UNKNOWN_LATENCY_MS: u64 = 10_000;
 
-fn small(index: usize) -> u16 {
+fn to_index(index: usize) -> u16 {
     u16::try_from(index).unwrap_or(u16::MAX)
 }
 
@@ -139,7 +139,7 @@
         let service_ids = services
             .iter()
             .enumerate()
-            .map(|(index, service)| (service.entry.name.clone(), ServiceId(small(index))))
+            .map(|(index, service)| (service.entry.name.clone(), ServiceId(to_index(index))))
             .collect();
         Self {
             generation,
@@ -165,7 +165,7 @@
         self.halls
             .iter()
             .position(|hall| hall.name == name)
-            .map(|index| HallId(small(index)))
+            .map(|index| HallId(to_index(index)))
     }
 
     /// Finds a region by name.
@@ -174,7 +174,7 @@
         self.regions
             .iter()
             .position(|region| region == name)
-            .map(|index| RegionId(small(index)))
+            .map(|index| RegionId(to_index(index)))
     }
 
     /// The region of a hall.
@@ -190,14 +190,14 @@
         self.latency_ms
             .get(position)
             .copied()
-            .unwrap_or(LATENCY_UNKNOWN)
+            .unwrap_or(UNKNOWN_LATENCY_MS)
     }
 
     /// Regions ordered by latency from one of them, itself first.
     #[must_use]
     pub fn regions_from(&self, region: RegionId) -> Vec<RegionId> {
         let mut order: Vec<RegionId> = (0..self.regions.len())
-            .map(|index| RegionId(small(index)))
+            .map(|index| RegionId(to_index(index)))
             .collect();
         order.sort_by_key(|&other| (self.latency_ms(region, other), other));
         order
@@ -219,7 +219,7 @@
         .iter()
         .map(|hall| HallTopology {
             name: hall.name.clone(),
-            region: RegionId(small(region_of(&hall.region))),
+            region: RegionId(to_index(region_of(&hall.region))),
             capacity: hall.capacity,
         })
         .collect()
@@ -245,13 +245,13 @@
         .iter()
         .map(|server| ServerTopology {
             name: server.name.clone(),
-            service: ServiceId(small(
+            service: ServiceId(to_index(
                 services
                     .get(server.service.as_str())
                     .copied()
                     .unwrap_or_default(),
             )),
-            hall: HallId(small(
+            hall: HallId(to_index(
                 halls.get(server.hall.as_str()).copied().unwrap_or_default(),
             )),
             address: server.address,
@@ -277,8 +277,8 @@
         .collect();
     for hall in 0..halls.len() {
         for (index, service) in services.iter_mut().enumerate() {
-            let service_id = ServiceId(small(index));
-            let place = compile_place(service_id, HallId(small(hall)), servers);
+            let service_id = ServiceId(to_index(index));
+            let place = compile_place(service_id, HallId(to_index(hall)), servers);
             if !place.servers.is_empty() {
                 service.places.push(place);
             }
@@ -293,7 +293,7 @@
         .enumerate()
         .filter(|(_, server)| server.service == service && server.hall == hall && server.serving);
     let (ids, slots): (Vec<ServerId>, Vec<u32>) = members
-        .map(|(index, server)| (ServerId(small(index)), server.slots))
+        .map(|(index, server)| (ServerId(to_index(index)), server.slots))
         .unzip();
     ServicePlace {
         hall,
@@ -304,7 +304,7 @@
 
 fn compile_latency(declaration: &declaration::SteeringDeclaration, regions: &[String]) -> Vec<u64> {
     let count = regions.len();
-    let mut latency = vec![LATENCY_UNKNOWN; count * count];
+    let mut latency = vec![UNKNOWN_LATENCY_MS; count * count];
     for index in 0..count {
         latency[index * count + index] = 0;
     }
