--- a/src/health.rs
+++ b/src/health.rs
@@ -18,7 +18,7 @@
 
 /// The load that a server reports in its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadClaim {
+pub struct ReportedLoad {
     /// Requests that the server runs.
     pub in_use: u32,
     /// When the report was received.
@@ -32,7 +32,7 @@
     /// `None` until the first answer.
     answer_ms: Option<f64>,
     failure_rate: f64,
-    claim: Option<LoadClaim>,
+    reported_load: Option<ReportedLoad>,
     ejected_until: Option<timer::Moment>,
     ejections: u32,
     slow_start_from: timer::Moment,
@@ -48,7 +48,7 @@
             in_flight: 0,
             answer_ms: None,
             failure_rate: 0.0,
-            claim: None,
+            reported_load: None,
             ejected_until: None,
             ejections: 0,
             slow_start_from,
@@ -63,12 +63,12 @@
     }
 
     /// Records that a request is sent to the server.
-    pub const fn begin(&mut self) {
+    pub const fn start_request(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records that a request ended, whatever its result.
-    pub const fn end(&mut self) {
+    pub const fn finish_request(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -98,8 +98,8 @@
     }
 
     /// Records a load that the server reported.
-    pub const fn on_claim(&mut self, claim: LoadClaim) {
-        self.claim = Some(claim);
+    pub const fn on_reported_load(&mut self, reported_load: ReportedLoad) {
+        self.reported_load = Some(reported_load);
     }
 
     /// Whether the server is leaving and gets no new requests.
@@ -123,10 +123,10 @@
     /// with `typical_ms`, so that it gets neither all requests nor none.
     #[must_use]
     pub fn cost(&self, slots: u32, typical_ms: f64, now: timer::Moment) -> f64 {
-        let claimed = self
-            .claim
-            .filter(|claim| now.since(claim.at) <= REPORTED_LOAD_MAX_AGE_MS);
-        let others = claimed.map_or(0, |claim| claim.in_use.saturating_sub(self.in_flight));
+        let reported = self
+            .reported_load
+            .filter(|load| now.since(load.at) <= REPORTED_LOAD_MAX_AGE_MS);
+        let others = reported.map_or(0, |load| load.in_use.saturating_sub(self.in_flight));
         let load = f64::from(self.in_flight + others + 1) / f64::from(slots.max(1));
         load * self.answer_ms.unwrap_or(typical_ms).max(1.0) / self.slow_start_factor(now)
             * (1.0 + 4.0 * self.failure_rate)
--- a/src/steering/attempts.rs
+++ b/src/steering/attempts.rs
@@ -3,7 +3,7 @@
 use super::{
     AttemptResult, ChosenServer, RequestAdmission, SteeringPolicy, SteeringRole, choice, placement,
 };
-use crate::health::LoadClaim;
+use crate::health::ReportedLoad;
 use crate::retry::RetryBudget;
 use crate::timer;
 
@@ -38,7 +38,7 @@
         admission.attempts += 1;
         admission.server = server;
         if let Some(health) = self.servers.get_mut(server.slot) {
-            health.begin();
+            health.start_request();
         }
         true
     }
@@ -69,12 +69,12 @@
         &mut self,
         admission: &RequestAdmission,
         result: AttemptResult,
-        claimed_load: Option<u32>,
+        reported_load: Option<u32>,
         now: timer::Moment,
     ) {
-        self.note_answer(admission, result, claimed_load, now);
+        self.note_answer(admission, result, reported_load, now);
         if let Some(health) = self.servers.get_mut(admission.server.slot) {
-            health.end();
+            health.finish_request();
         }
     }
 
@@ -83,7 +83,7 @@
         &mut self,
         admission: &RequestAdmission,
         result: AttemptResult,
-        claimed_load: Option<u32>,
+        reported_load: Option<u32>,
         now: timer::Moment,
     ) {
         let answer_ms = now.since(admission.started);
@@ -93,8 +93,8 @@
                 AttemptResult::Failure => health.on_failure(now),
                 AttemptResult::Shed | AttemptResult::Abandoned => {}
             }
-            if let Some(in_use) = claimed_load {
-                health.on_claim(LoadClaim { in_use, at: now });
+            if let Some(in_use) = reported_load {
+                health.on_reported_load(ReportedLoad { in_use, at: now });
             }
         }
         if result == AttemptResult::Success {
--- a/src/steering/placement.rs
+++ b/src/steering/placement.rs
@@ -124,7 +124,7 @@
             }
         }
         if let Some(health) = self.servers.get_mut(admission.server.slot) {
-            health.begin();
+            health.start_request();
         }
     }
 
--- a/src/worker/admitted.rs
+++ b/src/worker/admitted.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(super) fn end_attempt(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
+    pub(super) fn end_attempt(&mut self, result: AttemptResult, reported_load: Option<u32>) {
         if !std::mem::take(&mut self.attempting) {
             return;
         }
@@ -43,7 +43,7 @@
             let now = worker.now();
             worker
                 .steering
-                .end_attempt(&self.admission, result, claimed_load, now);
+                .end_attempt(&self.admission, result, reported_load, now);
         });
     }
 
@@ -72,12 +72,12 @@
     }
 
     /// Records that the head of an answer arrived. The server stays occupied until the body ends.
-    pub(super) fn record_answer(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
+    pub(super) fn record_answer(&mut self, result: AttemptResult, reported_load: Option<u32>) {
         with_worker(|worker| {
             let now = worker.now();
             worker
                 .steering
-                .note_answer(&self.admission, result, claimed_load, now);
+                .note_answer(&self.admission, result, reported_load, now);
         });
     }
 }
