--- a/src/steering/attempts.rs
+++ b/src/steering/attempts.rs
@@ -16,10 +16,10 @@
     pub fn retry(
         &mut self,
         admission: &mut RequestAdmission,
-        proved_unrun: bool,
+        proved_not_run: bool,
         now: timer::Moment,
     ) -> bool {
-        if !(admission.repeatable || proved_unrun) || now >= admission.deadline {
+        if !(admission.repeatable || proved_not_run) || now >= admission.deadline {
             return false;
         }
         let Some(server) = self.other_server(admission, now) else {
@@ -72,14 +72,14 @@
         reported_load: Option<u32>,
         now: timer::Moment,
     ) {
-        self.note_answer(admission, result, reported_load, now);
+        self.record_answer(admission, result, reported_load, now);
         if let Some(health) = self.servers.get_mut(admission.server.slot) {
             health.finish_request();
         }
     }
 
     /// Records that the head of an answer arrived, or that none will. The attempt itself continues.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         admission: &RequestAdmission,
         result: AttemptResult,
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -41,7 +41,7 @@
 /// Range of retry times that are sent to refused callers, in milliseconds.
 const RETRY_AFTER_RANGE_MS: std::ops::RangeInclusive<u64> = 50..=5_000;
 /// Retry time if the request can't be served for now: no host, no server or no configuration.
-pub const COME_BACK_LONG_MS: u64 = 1_000;
+pub const UNAVAILABLE_RETRY_AFTER_MS: u64 = 1_000;
 
 /// How a worker selects servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -76,7 +76,7 @@
 
 /// How the wait of a request ended: it was admitted or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WaitEnd {
+pub struct WaitOutcome {
     /// The ticket of the request.
     pub ticket: WaitTicket,
     /// The admission or the refusal.
@@ -256,7 +256,7 @@
         }
         RequestRefusal {
             code: ResultCode::ConfigurationMissing,
-            retry_after_ms: Some(COME_BACK_LONG_MS),
+            retry_after_ms: Some(UNAVAILABLE_RETRY_AFTER_MS),
         }
     }
 
--- a/src/steering/placement.rs
+++ b/src/steering/placement.rs
@@ -9,8 +9,8 @@
 use super::ranking::{self, RankedPlace};
 use super::unit::{AnswerEstimate, UnitCounter};
 use super::{
-    AdmitDecision, COME_BACK_LONG_MS, ChosenServer, RETRY_AFTER_RANGE_MS, RequestAdmission,
-    RequestRefusal, SteeringPolicy, SteeringRole, WaitTicket,
+    AdmitDecision, ChosenServer, RETRY_AFTER_RANGE_MS, RequestAdmission, RequestRefusal,
+    SteeringPolicy, SteeringRole, UNAVAILABLE_RETRY_AFTER_MS, WaitTicket,
 };
 use crate::budget::PlaceKey;
 use crate::result_code::ResultCode;
@@ -235,6 +235,6 @@
 pub(super) const fn no_server_refusal() -> RequestRefusal {
     RequestRefusal {
         code: ResultCode::NoHealthyServer,
-        retry_after_ms: Some(COME_BACK_LONG_MS),
+        retry_after_ms: Some(UNAVAILABLE_RETRY_AFTER_MS),
     }
 }
--- a/src/steering/waiting.rs
+++ b/src/steering/waiting.rs
@@ -4,7 +4,7 @@
 use std::collections;
 
 use super::placement::{self, PlaceOutcome};
-use super::{SteeringRole, WaitEnd, WaitTicket};
+use super::{SteeringRole, WaitOutcome, WaitTicket};
 use crate::timer;
 
 /// After this many waiting requests that can't be placed, the scan of a queue stops.
@@ -12,7 +12,7 @@
 
 impl SteeringRole {
     /// Returns the requests whose wait ended, after units became free or time passed.
-    pub fn take_ready(&mut self, now: timer::Moment) -> Vec<WaitEnd> {
+    pub fn take_ready(&mut self, now: timer::Moment) -> Vec<WaitOutcome> {
         let names: Vec<String> = self
             .queues
             .iter()
@@ -28,7 +28,7 @@
     }
 
     /// Refuses waiting requests that can't be answered in time any more.
-    fn refuse_late(&mut self, name: &str, now: timer::Moment, outcomes: &mut Vec<WaitEnd>) {
+    fn refuse_late(&mut self, name: &str, now: timer::Moment, outcomes: &mut Vec<WaitOutcome>) {
         let Some(mut queue) = self.queues.remove(name) else {
             return;
         };
@@ -41,14 +41,14 @@
             }),
             None => queue.take_late(|_| true),
         };
-        outcomes.extend(late.into_iter().map(|entry| WaitEnd {
+        outcomes.extend(late.into_iter().map(|entry| WaitOutcome {
             ticket: entry.ticket,
             result: Err(placement::deadline_refusal()),
         }));
         self.queues.insert(name.to_owned(), queue);
     }
 
-    fn place_waiting(&mut self, name: &str, now: timer::Moment, outcomes: &mut Vec<WaitEnd>) {
+    fn place_waiting(&mut self, name: &str, now: timer::Moment, outcomes: &mut Vec<WaitOutcome>) {
         let mut failed = 0;
         let mut tried = collections::HashSet::new();
         while failed < MAX_FAILED_PLACEMENTS {
@@ -67,7 +67,7 @@
                 continue;
             };
             self.cancel_wait(entry.ticket);
-            outcomes.push(WaitEnd {
+            outcomes.push(WaitOutcome {
                 ticket: entry.ticket,
                 result: Ok(admission),
             });
--- a/src/worker/admitted.rs
+++ b/src/worker/admitted.rs
@@ -48,12 +48,12 @@
     }
 
     /// Selects another server if the retry budget allows it.
-    pub(super) fn retry(&mut self, proved_unrun: bool) -> bool {
+    pub(super) fn retry(&mut self, proved_not_run: bool) -> bool {
         let retried = with_worker(|worker| {
             let now = worker.now();
             worker
                 .steering
-                .retry(&mut self.admission, proved_unrun, now)
+                .retry(&mut self.admission, proved_not_run, now)
         });
         self.attempting = retried == Some(true);
         self.attempting
@@ -77,7 +77,7 @@
             let now = worker.now();
             worker
                 .steering
-                .note_answer(&self.admission, result, reported_load, now);
+                .record_answer(&self.admission, result, reported_load, now);
         });
     }
 }
--- a/src/worker/answer.rs
+++ b/src/worker/answer.rs
@@ -51,7 +51,7 @@
 pub(super) const fn internal_refusal() -> CallerRefusal {
     CallerRefusal::with_code(
         ResultCode::WorkRejected,
-        Some(crate::steering::COME_BACK_LONG_MS),
+        Some(crate::steering::UNAVAILABLE_RETRY_AFTER_MS),
     )
 }
 
--- a/src/worker/attempt.rs
+++ b/src/worker/attempt.rs
@@ -20,7 +20,7 @@
 use crate::event::EventCode;
 use crate::http_client::{self, ExchangeFault};
 use crate::result_code::ResultCode;
-use crate::steering::{AttemptResult, COME_BACK_LONG_MS, RequestAdmission};
+use crate::steering::{AttemptResult, RequestAdmission, UNAVAILABLE_RETRY_AFTER_MS};
 
 /// Timeout for opening a connection to a backend server.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
@@ -54,7 +54,10 @@
             Err(AttemptFault::NotRun(code)) => {
                 admitted.sent = false;
                 if !admitted.retry(true) {
-                    return Err(CallerRefusal::with_code(code, Some(COME_BACK_LONG_MS)));
+                    return Err(CallerRefusal::with_code(
+                        code,
+                        Some(UNAVAILABLE_RETRY_AFTER_MS),
+                    ));
                 }
             }
             Err(AttemptFault::Unknown(code)) => {
--- a/src/worker/claiming.rs
+++ b/src/worker/claiming.rs
@@ -8,7 +8,7 @@
 use crate::claim_role::ClaimRequest;
 use crate::control_message::{ClaimDecision, ControlAnswer, ControlInput};
 use crate::result_code::ResultCode;
-use crate::steering::COME_BACK_LONG_MS;
+use crate::steering::UNAVAILABLE_RETRY_AFTER_MS;
 use crate::timer;
 
 /// Upper bound for the wait for a claim decision, whatever the request's deadline.
@@ -77,7 +77,7 @@
     let Some(ControlAnswer::Claim(decision)) = answer else {
         return Err(CallerRefusal::with_code(
             ResultCode::WorkRejected,
-            Some(COME_BACK_LONG_MS),
+            Some(UNAVAILABLE_RETRY_AFTER_MS),
         ));
     };
     if decision == ClaimDecision::Granted {
@@ -98,7 +98,7 @@
             CallerRefusal::with_code(ResultCode::ClaimsUnavailable, Some(retry_ms))
         }
         ClaimDecision::Pending | ClaimDecision::Granted => {
-            CallerRefusal::with_code(ResultCode::ClaimPending, Some(COME_BACK_LONG_MS))
+            CallerRefusal::with_code(ResultCode::ClaimPending, Some(UNAVAILABLE_RETRY_AFTER_MS))
         }
     }
 }
--- a/src/worker/route.rs
+++ b/src/worker/route.rs
@@ -14,7 +14,7 @@
 use super::with_worker;
 use crate::lookup::LookupFault;
 use crate::result_code::ResultCode;
-use crate::steering::COME_BACK_LONG_MS;
+use crate::steering::UNAVAILABLE_RETRY_AFTER_MS;
 
 /// Header in which a trusted forwarder reports the caller's address.
 const CALLER_HEADER: &str = "x-ledgespool-caller";
@@ -78,7 +78,7 @@
                     LookupFault::ServiceUnknown if worker.generation == 0 => {
                         CallerRefusal::with_code(
                             ResultCode::ConfigurationMissing,
-                            Some(COME_BACK_LONG_MS),
+                            Some(UNAVAILABLE_RETRY_AFTER_MS),
                         )
                     }
                     LookupFault::ServiceUnknown => {
@@ -86,7 +86,7 @@
                     }
                     LookupFault::NoHost => CallerRefusal::with_code(
                         ResultCode::EntryUnavailable,
-                        Some(COME_BACK_LONG_MS),
+                        Some(UNAVAILABLE_RETRY_AFTER_MS),
                     ),
                 }),
         )
@@ -120,7 +120,10 @@
             return Some(CallerRefusal::with_code(ResultCode::HostLeaving, None));
         }
         (worker.generation == 0).then(|| {
-            CallerRefusal::with_code(ResultCode::ConfigurationMissing, Some(COME_BACK_LONG_MS))
+            CallerRefusal::with_code(
+                ResultCode::ConfigurationMissing,
+                Some(UNAVAILABLE_RETRY_AFTER_MS),
+            )
         })
     });
     let response = match refusal.flatten() {
