--- a/src/controller/leaving.rs
+++ b/src/controller/leaving.rs
@@ -3,7 +3,8 @@
 use std::sync;
 
 use super::{
-    HostController, LEAVE_GRACE_MS, LEAVING_TTL_MS, MAX_LEAVING, RELEASE_GRACE_MS, STOP_ALARM_MS,
+    HostController, LEAVE_GRACE_MS, LEAVING_TTL_MS, MAX_LEAVING_SERVERS, RELEASE_GRACE_MS,
+    STOP_ALARM_MS,
 };
 use crate::control_message::ControlAction;
 use crate::declaration::DrainKind;
@@ -32,7 +33,7 @@
 
     pub(super) fn add_leaving_server(&mut self, name: String, since: Moment) {
         let known = self.leaving_servers.contains_key(&name);
-        if !known && self.leaving_servers.len() >= MAX_LEAVING {
+        if !known && self.leaving_servers.len() >= MAX_LEAVING_SERVERS {
             return;
         }
         let entry = self.leaving_servers.entry(name.clone()).or_insert(since);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -30,7 +30,7 @@
 use crate::topology::SteeringTopology;
 
 /// Leaving servers that are remembered.
-pub const MAX_LEAVING: usize = 1_000;
+pub const MAX_LEAVING_SERVERS: usize = 1_000;
 /// A leaving server may serve again if it was not reported as leaving for this long.
 const LEAVING_TTL_MS: u64 = 60_000;
 /// Leaving servers in one heartbeat.
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -23,7 +23,7 @@
 /// Interval of rebalancing.
 const REBALANCE_INTERVAL_MS: u64 = 500;
 /// A host whose last report is older gets no new grants.
-pub const REPORT_LIFE_MS: u64 = 3_000;
+pub const REPORT_MAX_AGE_MS: u64 = 3_000;
 /// A reported load expires after this long.
 const LOAD_MAX_AGE_MS: u64 = 5_000;
 /// Units move if a host's target exceeds its grant by more than this fraction of the grant.
@@ -223,7 +223,7 @@
 
     fn expire_reports(&mut self, now: timer::Moment) {
         self.reports
-            .retain(|_, stored| now.since(stored.received_at) <= REPORT_LIFE_MS);
+            .retain(|_, stored| now.since(stored.received_at) <= REPORT_MAX_AGE_MS);
         self.loads
             .retain(|_, load| now.since(load.received_at) <= LOAD_MAX_AGE_MS);
     }
