--- a/src/control_shell.rs
+++ b/src/control_shell.rs
@@ -15,25 +15,25 @@
 use crate::port::{ControlEnvelope, ControlPort};
 use crate::ring::{RingFault, RingReceiver, RingSender};
 use crate::timer::{self, BootClock};
-use crate::worker::WorkerOrder;
+use crate::worker::WorkerCommand;
 
 /// A worker's ring, and the newest order of each kind that found it full.
 #[derive(Debug)]
 pub(crate) struct WorkerPort {
-    pub(crate) ring: RingSender<WorkerOrder>,
-    held: collections::VecDeque<WorkerOrder>,
+    pub(crate) ring: RingSender<WorkerCommand>,
+    held: collections::VecDeque<WorkerCommand>,
 }
 
 impl WorkerPort {
     /// A port with nothing held back.
-    pub(crate) const fn with_ring(ring: RingSender<WorkerOrder>) -> Self {
+    pub(crate) const fn with_ring(ring: RingSender<WorkerCommand>) -> Self {
         Self {
             ring,
             held: collections::VecDeque::new(),
         }
     }
 
-    fn send(&mut self, order: WorkerOrder) {
+    fn send(&mut self, order: WorkerCommand) {
         self.held
             .retain(|held| std::mem::discriminant(held) != std::mem::discriminant(&order));
         self.held.push_back(order);
@@ -119,13 +119,13 @@
                 return self.tell_peer(PeerMessage::Settle(address, settle));
             }
             ControlAction::InstallTopology(topology) => {
-                self.order_all(&WorkerOrder::Topology(topology));
+                self.order_all(&WorkerCommand::Topology(topology));
             }
-            ControlAction::InstallLookup(lookup) => self.order_all(&WorkerOrder::Lookup(lookup)),
+            ControlAction::InstallLookup(lookup) => self.order_all(&WorkerCommand::Lookup(lookup)),
             ControlAction::InstallGrants(grants) => self.install_grants(&grants),
-            ControlAction::SetLeaving(leaving) => self.order_all(&WorkerOrder::Leaving(leaving)),
+            ControlAction::SetLeaving(leaving) => self.order_all(&WorkerCommand::Leaving(leaving)),
             ControlAction::SetLeavingServers(names) => {
-                self.order_all(&WorkerOrder::LeavingServers(names));
+                self.order_all(&WorkerCommand::LeavingServers(names));
             }
             ControlAction::Answer(ticket, answer) => {
                 if let Some(sender) = self.waiting.remove(&ticket) {
@@ -159,7 +159,7 @@
         }
     }
 
-    fn order_all(&mut self, order: &WorkerOrder) {
+    fn order_all(&mut self, order: &WorkerCommand) {
         for worker in &mut self.workers {
             worker.send(order.clone());
         }
@@ -177,7 +177,7 @@
                     + number * (grant.units / count)
                     + number.min(grant.units % count),
             });
-            worker.send(WorkerOrder::Grants(HostGrants {
+            worker.send(WorkerCommand::Grants(HostGrants {
                 sequence: grants.sequence,
                 grants: slices.collect(),
             }));
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -24,7 +24,7 @@
 use crate::settings::HostSettings;
 use crate::timer::{self, BootClock, TimerService};
 use crate::token::TokenPair;
-use crate::worker::{self, WorkerOrder, WorkerSetup};
+use crate::worker::{self, WorkerCommand, WorkerSetup};
 
 /// How often the controller sees time pass.
 const CONTROL_TICK: time::Duration = time::Duration::from_millis(50);
@@ -287,7 +287,7 @@
     };
     timer.subscribe(CONTROL_TICK, control.ring(), tick);
     for worker in workers {
-        timer.subscribe(WORKER_TICK, worker.ring.clone(), || WorkerOrder::Tick);
+        timer.subscribe(WORKER_TICK, worker.ring.clone(), || WorkerCommand::Tick);
     }
     timer.spawn(stop)
 }
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -43,7 +43,7 @@
 
 /// A command of the control thread to a worker.
 #[derive(Debug, Clone)]
-pub enum WorkerOrder {
+pub enum WorkerCommand {
     /// Report now.
     Tick,
     /// Apply a topology.
@@ -127,21 +127,21 @@
         }
     }
 
-    fn handle_command(&mut self, command: WorkerOrder) {
+    fn handle_command(&mut self, command: WorkerCommand) {
         let now = self.now();
         match command {
-            WorkerOrder::Tick => {}
-            WorkerOrder::Topology(topology) => {
+            WorkerCommand::Tick => {}
+            WorkerCommand::Topology(topology) => {
                 self.steering.install_topology(&topology, now);
                 self.generation = topology.generation;
                 self.own_hall = topology.hall_id(&self.settings.hall).unwrap_or(HallId(0));
             }
-            WorkerOrder::Lookup(lookup) => self.lookup = lookup,
-            WorkerOrder::Grants(grants) => self.steering.install_grants(&grants),
-            WorkerOrder::Leaving(leaving) => {
+            WorkerCommand::Lookup(lookup) => self.lookup = lookup,
+            WorkerCommand::Grants(grants) => self.steering.install_grants(&grants),
+            WorkerCommand::Leaving(leaving) => {
                 self.leaving_since = leaving.then(|| self.leaving_since.unwrap_or(now));
             }
-            WorkerOrder::LeavingServers(names) => self.steering.set_leaving_servers(&names),
+            WorkerCommand::LeavingServers(names) => self.steering.set_leaving_servers(&names),
         }
         self.wake_ready();
         self.report(now);
@@ -173,7 +173,7 @@
 /// When the thread cannot be started.
 pub fn spawn(
     setup: WorkerSetup,
-) -> std::io::Result<(RingSender<WorkerOrder>, thread::JoinHandle<()>)> {
+) -> std::io::Result<(RingSender<WorkerCommand>, thread::JoinHandle<()>)> {
     let (sender, receiver) = ring::with_capacity(COMMAND_RING_CAPACITY);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -186,7 +186,7 @@
     Ok((sender, handle))
 }
 
-async fn run(setup: WorkerSetup, commands: RingReceiver<WorkerOrder>) {
+async fn run(setup: WorkerSetup, commands: RingReceiver<WorkerCommand>) {
     let WorkerSetup {
         number,
         settings,
