--- a/tests/promise_budget.rs
+++ b/tests/promise_budget.rs
@@ -1,4 +1,5 @@
-//! No place is overrun and shifts stay under their cap, whatever happens to planner and platform.
+//! System tests of budgets: no hall exceeds its limit and shifts stay under their cap, whatever
+//! happens to the planner and the platform.
 
 mod common;
 
@@ -19,18 +20,18 @@
     }
 }
 
-/// Each hall has one server that counts who was there at once, so the hall's sum over all hosts
-/// is checked at every instant.
-async fn assert_no_hall_overrun(system: &System) {
+/// Checks the limit of each hall. Each hall has only one server, whose peak of concurrent requests
+/// is therefore the peak of the hall over all hosts.
+async fn assert_hall_limits_hold(system: &System) {
     for index in 0..system.servers.len() {
         let log = system.server_log(index).await;
         assert!(
             log.peak <= SLOTS,
-            "hall {} carries {SLOTS}, had {}",
+            "hall {} has {SLOTS} slots, but ran {} requests at once",
             system.servers[index].hall,
             log.peak
         );
-        assert_eq!(log.shed, 0, "the server never had to shed");
+        assert_eq!(log.shed, 0, "the server shed requests");
     }
 }
 
@@ -49,7 +50,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn no_hall_is_overrun_while_planners_die_freeze_and_wake() {
+async fn no_hall_exceeds_its_limit_while_planners_crash_and_stall() {
     let mut system = System::start(SystemPlan {
         slots: SLOTS,
         ..SystemPlan::default()
@@ -57,28 +58,28 @@
     .await;
     let crowd = Crowd::start(&system.entries(), &crowd("planner", 30));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let frozen = planner_index(&system, &system.statuses().await).expect("a planner");
-    system.hosts[frozen].process.signal("-STOP");
+    let stalled = planner_index(&system, &system.statuses().await).expect("a planner");
+    system.hosts[stalled].process.signal("-STOP");
     tokio::time::sleep(Duration::from_secs(8)).await;
-    system.hosts[frozen].process.signal("-CONT");
+    system.hosts[stalled].process.signal("-CONT");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let killed = planner_index(&system, &system.statuses().await).expect("a planner");
-    system.hosts[killed].process.kill();
+    let crashed = planner_index(&system, &system.statuses().await).expect("a planner");
+    system.hosts[crashed].process.kill();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    system.restart_host(killed);
+    system.restart_host(crashed);
     tokio::time::sleep(Duration::from_secs(4)).await;
     system.wait_ready().await;
     let sent = crowd.stop().await;
     assert!(
         common::count(&sent, Some(RequestOutcome::Answered)) > 500,
-        "work went on"
+        "too few requests were answered"
     );
-    assert_no_hall_overrun(&system).await;
+    assert_hall_limits_hold(&system).await;
     assert_truthful(&sent, &system.runs().await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn no_hall_is_overrun_while_the_platform_is_down_and_slow() {
+async fn no_hall_exceeds_its_limit_while_the_platform_is_down_or_slow() {
     let system = System::start(SystemPlan {
         slots: SLOTS,
         ..SystemPlan::default()
@@ -112,12 +113,12 @@
     let sent = crowd.stop().await;
     assert!(
         common::count(&sent, Some(RequestOutcome::Answered)) > 500,
-        "work went on"
+        "too few requests were answered"
     );
-    assert_no_hall_overrun(&system).await;
+    assert_hall_limits_hold(&system).await;
 }
 
-/// Units follow demand: one busy host ends up with most of its region's units.
+/// Units follow demand: one busy host gets most units of its region.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn units_move_to_the_host_that_needs_them() {
     let system = System::start(SystemPlan {
@@ -144,28 +145,26 @@
             }
         }));
     }
-    common::until(
-        "the busy host holds all but its neighbour's one unit",
-        || async {
-            let status = common::status(busy_control(&system)).await;
-            status.is_some_and(|status| {
-                status
-                    .places
-                    .iter()
-                    .any(|place| place.place == "desk@perth-1" && place.grant >= SLOTS - 1)
-            })
-        },
-    )
+    common::until("the busy host holds all units but one", || async {
+        let status = common::status(busy_control(&system)).await;
+        status.is_some_and(|status| {
+            status
+                .places
+                .iter()
+                .any(|place| place.place == "desk@perth-1" && place.grant >= SLOTS - 1)
+        })
+    })
     .await;
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     for task in tasks {
         task.await.expect("a caller");
     }
-    assert_no_hall_overrun(&system).await;
+    assert_hall_limits_hold(&system).await;
 }
 
-/// Demand jumps between two hosts of a region while long requests run: what one gives up is still
-/// in use when the other asks for it.
+/// Guards against two hosts using the same unit. Demand alternates between two hosts of a region
+/// while long requests run, so that units released by one host are still in use when the other one
+/// requests them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn units_on_the_move_are_never_used_twice() {
     let system = System::start(SystemPlan {
@@ -174,8 +173,8 @@
     })
     .await;
     let mut sent = Vec::new();
-    for turn in 0..6 {
-        let entry = system.hosts[turn % 2].callers;
+    for round in 0..6 {
+        let entry = system.hosts[round % 2].callers;
         let mut tasks = Vec::new();
         for caller in 0..10 {
             tasks.push(tokio::spawn(async move {
@@ -186,7 +185,7 @@
                 let mut sent = Vec::new();
                 while Instant::now() < end {
                     number += 1;
-                    let id = format!("jump-{turn}-{caller}-{number}");
+                    let id = format!("jump-{round}-{caller}-{number}");
                     let result = client
                         .send_to(entry, &common::read_request(&id, 900, 10))
                         .await;
@@ -203,7 +202,7 @@
             sent.extend(task.await.expect("a caller"));
         }
     }
-    assert_no_hall_overrun(&system).await;
+    assert_hall_limits_hold(&system).await;
     assert_truthful(&sent, &system.runs().await);
 }
 
@@ -211,8 +210,8 @@
     system.hosts[0].control
 }
 
-/// All callers of one region move when its hosts and server are gone; the moved work in the other
-/// region never exceeds the cap, and grows no faster than declared, across a change of planners.
+/// All callers of one region fail over when its hosts and servers crash. The moved requests never
+/// exceed the cap in the other region, across a change of planners.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn failover_stays_under_the_shift_cap_across_planners() {
     const CAP: u32 = 3;
@@ -234,10 +233,10 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     system.hosts[2].process.kill();
     system.servers[0].process.kill();
-    let began = Instant::now();
-    let mut killed = false;
+    let started = Instant::now();
+    let mut stalled = false;
     let mut peak = 0;
-    while began.elapsed() < Duration::from_secs(14) {
+    while started.elapsed() < Duration::from_secs(14) {
         let statuses = system.statuses().await;
         let in_use: u32 = statuses
             .iter()
@@ -248,10 +247,10 @@
         peak = peak.max(in_use);
         assert!(
             in_use <= CAP,
-            "granted {in_use} moved units, the cap is {CAP}"
+            "{in_use} units for moved requests are granted, the cap is {CAP}"
         );
-        if !killed && began.elapsed() > Duration::from_secs(7) {
-            killed = true;
+        if !stalled && started.elapsed() > Duration::from_secs(7) {
+            stalled = true;
             if let Some(planner) = planner_index(&system, &statuses) {
                 system.hosts[planner].process.signal("-STOP");
                 tokio::time::sleep(Duration::from_secs(1)).await;
@@ -261,15 +260,15 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let sent = moved.stop().await;
-    assert!(peak > 0, "some work did move");
+    assert!(peak > 0, "no request moved");
     assert!(
         common::count(&sent, Some(RequestOutcome::Answered)) > 20,
-        "callers of the lost region are served"
+        "too few callers of the lost region were served"
     );
     let log = system.server_log(1).await;
     assert!(
         log.peak <= CAP,
-        "at most {CAP} moved requests at once, had {}",
+        "more than {CAP} moved requests at once: {}",
         log.peak
     );
 }
--- a/tests/promise_claims.rs
+++ b/tests/promise_claims.rs
@@ -1,5 +1,5 @@
-//! At most once, and *not run* means not run: claims under repeats, deaths, freezes, lost answers
-//! and outages of the platform.
+//! System tests of claims: a request runs at most once, and *not run* really means not run, under
+//! repeated keys, crashes, stalled hosts, lost answers and outages of the platform.
 
 mod common;
 
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_repeat_gets_the_recorded_outcome() {
+async fn a_repeated_claim_gets_the_recorded_outcome() {
     let system = System::start(SystemPlan::default()).await;
     let key = new_key("repeat");
     let first = send(&system, 0, "repeat-1", &key, 5).await;
@@ -53,14 +53,17 @@
             send(&system, 2, &ids[2], &key, 5)
         );
         let whole = [&a, &b, &c].iter().filter(|sent| sent.result.whole).count();
-        assert_eq!(whole, 1, "one of three is answered: {a:?} {b:?} {c:?}");
+        assert_eq!(
+            whole, 1,
+            "exactly one of three must be answered: {a:?} {b:?} {c:?}"
+        );
         all.extend([a, b, c]);
     }
     assert_truthful(&all, &system.runs().await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_key_in_flight_at_a_host_that_dies_is_not_run_again() {
+async fn a_key_in_flight_at_a_crashed_host_is_not_run_again() {
     let mut system = System::start(SystemPlan::default()).await;
     let key = new_key("death");
     let entry = system.hosts[0].callers;
@@ -75,10 +78,11 @@
     .await;
     system.hosts[0].process.kill();
     let first = sending.await.expect("a result");
-    assert_eq!(first.outcome, None, "its host is dead");
+    assert_eq!(first.outcome, None, "its host crashed");
     let mut all = Vec::new();
     let end = std::time::Instant::now() + common::PATIENCE;
-    // The dead host may own the key's shard: until that is known, claims are unavailable.
+    // The crashed host may own the key's shard. Claims are unavailable until the other hosts have
+    // detected the crash.
     while std::time::Instant::now() < end {
         let number = all.len();
         let id = format!("death-again-{number}");
@@ -97,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn owners_frozen_past_their_lease_change_nothing_when_they_wake() {
+async fn owners_stalled_past_their_lease_change_nothing_when_they_resume() {
     let system = System::start(SystemPlan::default()).await;
     let plan = CrowdPlan {
         name: "freeze",
@@ -124,7 +128,7 @@
     }
     assert!(
         common::count(&sent, Some(RequestOutcome::Answered)) > 50,
-        "work went on"
+        "too few requests were answered"
     );
     assert_truthful(&sent, &system.runs().await);
 }
@@ -162,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn while_the_platform_is_down_releases_are_refused_unrun_and_reads_go_on() {
+async fn while_the_platform_is_down_claims_are_refused_and_reads_are_served() {
     let system = System::start(SystemPlan::default()).await;
     system
         .set_platform(PlatformFaults {
@@ -181,7 +185,7 @@
         );
         assert!(
             sent.result.retry_after_ms.is_some(),
-            "it says when to come back"
+            "the refusal has no retry time"
         );
         all.push(sent);
         let mut caller = CallerClient::with_entries(system.entries());
@@ -196,29 +200,26 @@
         );
     }
     system.set_platform(PlatformFaults::default()).await;
-    common::until(
-        "the same key is taken once the platform is back",
-        || async {
-            send(&system, 0, &format!("outage-{}", new_key("after")), &key, 1)
-                .await
-                .result
-                .code
-                != Some(ResultCode::ClaimsUnavailable)
-        },
-    )
+    common::until("the same key is accepted after the outage", || async {
+        send(&system, 0, &format!("outage-{}", new_key("after")), &key, 1)
+            .await
+            .result
+            .code
+            != Some(ResultCode::ClaimsUnavailable)
+    })
     .await;
     let runs = system.runs().await;
     assert_truthful(&all, &runs);
     assert_eq!(
         runs.iter().filter(|run| run.query.contains(&key)).count(),
         1,
-        "it ran once, when it could"
+        "the request must run exactly once after the outage"
     );
 }
 
-/// The platform's answers are lost between it and one host, whose writes all take effect.
+/// The answers of the platform to one host are lost, while all writes of this host take effect.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn a_host_that_hears_no_answer_from_the_platform_runs_nothing_twice() {
+async fn a_host_without_answers_from_the_platform_runs_nothing_twice() {
     let plan = SystemPlan {
         platform_proxies: true,
         ..SystemPlan::default()
--- a/tests/promise_drain.rs
+++ b/tests/promise_drain.rs
@@ -1,5 +1,5 @@
-//! A leaving server gets no new work, a planned stop cuts no request, callers are told to look up
-//! again.
+//! System tests of shutdowns and drains: a leaving server gets no new requests, a planned stop cuts
+//! off no request, and callers are asked to repeat their look-up.
 
 mod common;
 
@@ -13,8 +13,9 @@
 use ledgespool::standin::platform::PlatformFaults;
 use ledgespool::timer;
 
-/// Several seconds on a busy machine: the verdict is that work stops, the page gives the figures.
-const A_FEW_SECONDS_MS: u64 = 6_000;
+/// The test only checks that new requests stop, so the limit leaves time for a busy machine; the
+/// documentation states how fast they stop.
+const MAX_DELAY_MS: u64 = 6_000;
 
 fn two_servers() -> SystemPlan {
     SystemPlan {
@@ -24,8 +25,8 @@
     }
 }
 
-/// The time from `since` to the last request that the server was given.
-async fn last_work_after(system: &System, server: usize, since: u64) -> u64 {
+/// The time from `since` to the last request that the server received.
+async fn last_request_after(system: &System, server: usize, since: u64) -> u64 {
     let log = system.server_log(server).await;
     let last = log
         .runs
@@ -36,32 +37,43 @@
     last.saturating_sub(since)
 }
 
-/// Sends on for a while after the leave and checks that the server was left alone and nobody hurt.
-async fn assert_left_alone(system: &System, crowd: Crowd, server: usize, since: u64, how: &str) {
-    tokio::time::sleep(Duration::from_millis(A_FEW_SECONDS_MS + 2_000)).await;
+/// Keeps sending after the server began to leave, and checks that the server gets no new requests
+/// and that no request is cut off.
+async fn assert_no_new_requests(
+    system: &System,
+    crowd: Crowd,
+    server: usize,
+    since: u64,
+    announced_by: &str,
+) {
+    tokio::time::sleep(Duration::from_millis(MAX_DELAY_MS + 2_000)).await;
     let sent = crowd.stop().await;
-    let last = last_work_after(system, server, since).await;
-    println!("{how}: the last new work came {last} ms after the leave");
+    let last = last_request_after(system, server, since).await;
+    println!("{announced_by}: last new request {last} ms after the server began to leave");
     assert!(
-        last < A_FEW_SECONDS_MS,
-        "{how}: new work {last} ms after the leave"
+        last < MAX_DELAY_MS,
+        "{announced_by}: new request {last} ms after the server began to leave"
     );
-    assert_all_whole(&sent);
+    assert_all_complete_or_not_run(&sent);
 }
 
-fn assert_all_whole(sent: &[Sent]) {
+fn assert_all_complete_or_not_run(sent: &[Sent]) {
     for sent in sent {
-        let fine = sent.result.whole || sent.result.outcome == Some(RequestOutcome::NotRun);
-        assert!(fine, "neither whole nor refused unrun: {sent:?}");
+        let is_complete_or_not_run =
+            sent.result.whole || sent.result.outcome == Some(RequestOutcome::NotRun);
+        assert!(
+            is_complete_or_not_run,
+            "neither complete nor refused as not run: {sent:?}"
+        );
     }
     assert!(
         common::count(sent, Some(RequestOutcome::Answered)) > 50,
-        "work went on"
+        "too few requests were answered"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn a_server_drained_by_an_operator_is_left_alone() {
+async fn a_server_drained_by_an_operator_gets_no_new_requests() {
     let system = System::start(two_servers()).await;
     let crowd = Crowd::start(
         &system.entries(),
@@ -74,11 +86,11 @@
     let drained = system.cli(&["drain", "--wait"], &["server", "desk-perth-1-0"]);
     assert!(drained.status.success());
     let since = timer::unix_millis();
-    assert_left_alone(&system, crowd, 0, since, "operator").await;
+    assert_no_new_requests(&system, crowd, 0, since, "operator").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn a_server_that_says_it_leaves_is_left_alone_also_during_an_outage() {
+async fn a_server_that_announces_its_shutdown_gets_no_new_requests_during_an_outage() {
     let system = System::start(two_servers()).await;
     system
         .set_platform(PlatformFaults {
@@ -104,11 +116,11 @@
         )
         .await;
     let since = timer::unix_millis();
-    assert_left_alone(&system, crowd, 0, since, "the server itself").await;
+    assert_no_new_requests(&system, crowd, 0, since, "the server").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn a_server_that_the_platform_lists_as_leaving_is_left_alone() {
+async fn a_server_listed_as_leaving_by_the_platform_gets_no_new_requests() {
     let system = System::start(two_servers()).await;
     let crowd = Crowd::start(
         &system.entries(),
@@ -137,11 +149,11 @@
     });
     common::put(system.platform, "/admin/hosts", &list).await;
     let since = timer::unix_millis();
-    assert_left_alone(&system, crowd, 0, since, "the platform's list").await;
+    assert_no_new_requests(&system, crowd, 0, since, "the platform").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn a_hall_drained_under_load_with_long_answers_cuts_nothing() {
+async fn draining_a_hall_with_long_answers_cuts_off_no_request() {
     let plan = SystemPlan {
         regions: vec![
             ("perth", vec!["perth-1", "perth-2"]),
@@ -171,13 +183,13 @@
     println!("hall: {text}");
     tokio::time::sleep(Duration::from_secs(3)).await;
     let sent = crowd.stop().await;
-    assert_all_whole(&sent);
+    assert_all_complete_or_not_run(&sent);
     assert_truthful(&sent, &system.runs().await);
 }
 
-/// Starts a request at a host whose answer takes some seconds, and waits until it runs: a host that
-/// is told to stop stays until it has ended, however slow this machine is.
-async fn hold_request(
+/// Starts a request at a host with an answer that takes several seconds, and waits until it runs. A
+/// stopping host must not exit before this answer is complete, however slow the machine is.
+async fn start_long_request(
     system: &System,
     index: usize,
 ) -> tokio::task::JoinHandle<caller::CallerResult> {
@@ -188,30 +200,33 @@
     request.deadline = Duration::from_mins(1);
     request.extra_query.push_str("&pace_ms=100");
     let address = system.hosts[index].callers;
-    let held =
+    let long_request =
         tokio::spawn(async move { CallerClient::default().send_to(address, &request).await });
     common::until("the long request runs", || async {
         let runs = system.runs().await;
         runs.iter().any(|run| run.request_id == id)
     })
     .await;
-    held
+    long_request
 }
 
-/// A host that was told to stop tells its next callers to look up again.
-async fn assert_sent_to_look_up(host: std::net::SocketAddr) {
+/// A stopping host asks its next callers to repeat their look-up.
+async fn assert_asked_to_look_up(host: std::net::SocketAddr) {
     let client = tokio::sync::Mutex::new(CallerClient::default());
-    common::until("a caller is told to look up again", || async {
+    common::until("a caller is asked to look up again", || async {
         let request = common::read_request("next", 10, 100);
         let result = client.lock().await.send_to(host, &request).await;
-        assert!(result.outcome.is_some(), "the host is gone: {result:?}");
+        assert!(
+            result.outcome.is_some(),
+            "the host stopped early: {result:?}"
+        );
         result.look_up_again
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn entry_hosts_stopped_one_after_the_other_under_load_cut_nothing() {
+async fn stopping_entry_hosts_one_by_one_cuts_off_no_request() {
     let mut system = System::start(SystemPlan {
         slots: 12,
         ..SystemPlan::default()
@@ -223,21 +238,24 @@
         bytes: 120_000,
         extra_query: "&pace_ms=100",
         release_every: 4,
-        // Callers near the two hosts that are stopped, each in a block of its own.
+        // Callers in the region of the two stopped hosts, each in a client block of its own.
         from_region: Some(1),
         ..CrowdPlan::default()
     };
     let crowd = Crowd::start(&system.entries(), &long);
     for index in 0..2 {
-        let held = hold_request(&system, index).await;
+        let long_request = start_long_request(&system, index).await;
         system.hosts[index].process.signal("-TERM");
-        assert_sent_to_look_up(system.hosts[index].callers).await;
-        let held = held.await.expect("a caller");
-        assert!(held.whole, "a request in flight is cut: {held:?}");
+        assert_asked_to_look_up(system.hosts[index].callers).await;
+        let long_request = long_request.await.expect("a caller");
+        assert!(
+            long_request.whole,
+            "a request in flight was cut off: {long_request:?}"
+        );
         assert_eq!(
             system.hosts[index].process.wait(),
             Some(0),
-            "it stops by itself"
+            "the host did not stop by itself"
         );
         system.hosts[index].process = common::spawn_host(&system.hosts[index].settings);
         system.wait_ready().await;
@@ -247,14 +265,14 @@
         let cut = sent.result.outcome.is_some()
             && !sent.result.whole
             && sent.result.outcome != Some(RequestOutcome::NotRun);
-        assert!(!cut, "cut: {sent:?}");
-        assert!(sent.result.outcome.is_some(), "no answer at all: {sent:?}");
+        assert!(!cut, "cut off: {sent:?}");
+        assert!(sent.result.outcome.is_some(), "no answer: {sent:?}");
     }
     assert_truthful(&sent, &system.runs().await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn a_drained_entry_host_is_offered_to_nobody() {
+async fn a_drained_entry_host_is_not_advertised() {
     let system = System::start(SystemPlan {
         slots: 12,
         ..SystemPlan::default()
@@ -275,14 +293,14 @@
             .success()
     );
     common::until("no look-up names the drained host", || async {
-        let mut named = false;
+        let mut found = false;
         for host in &system.hosts {
             let answer =
                 ledgespool::standin::caller::ask(host.callers, common::SERVICE, None).await;
-            named |=
+            found |=
                 answer.is_none_or(|answer| answer.hosts.iter().any(|host| host.name == "entry-2"));
         }
-        !named
+        !found
     })
     .await;
     tokio::time::sleep(Duration::from_secs(4)).await;
@@ -291,6 +309,6 @@
         .expect("a status")
         .in_flight;
     let sent = crowd.stop().await;
-    assert_eq!(before, 0, "nothing runs on the drained host");
-    assert_all_whole(&sent);
+    assert_eq!(before, 0, "requests still run on the drained host");
+    assert_all_complete_or_not_run(&sent);
 }
--- a/tests/roles_budget.rs
+++ b/tests/roles_budget.rs
@@ -1,5 +1,5 @@
-//! Budgets, ramps and the planner under arbitrary orders of events: property tests of the
-//! state machines themselves.
+//! Property tests of the state machines for budgets, unit allocation and ramps, under arbitrary
+//! orders of events.
 
 use std::collections::HashMap;
 
@@ -22,9 +22,9 @@
 enum BudgetStep {
     Lower(usize, u32),
     Raise(usize, u32),
-    /// A host reads the newest plan, late or not at all.
+    /// A host reads the newest plan. It may miss any number of earlier plans.
     Read(usize),
-    /// A host starts as many requests as its grant allows.
+    /// A host starts requests, at most as many as its grant allows.
     Start(usize, u32),
     End(usize, u32),
     Report(usize),
@@ -43,7 +43,8 @@
     ]
 }
 
-/// A host as the budget can't see it: what it read, and what it runs.
+/// The actual state of a host, which the budget learns only from reports: the plan that it read,
+/// and the requests that it runs.
 #[derive(Debug, Default, Clone, Copy)]
 struct HostModel {
     installed: u64,
@@ -54,8 +55,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is read late, reported late or never: what hosts may start, and what they run,
-    /// never adds up to more than the place carries.
+    /// Guards against exceeding the limit of a place when hosts read plans late or report late or
+    /// never: the requests that hosts run or may start never add up to more than the limit.
     #[test]
     fn the_sum_in_use_never_exceeds_the_limit(steps in proptest::collection::vec(budget_step(), 1..120)) {
         const LIMIT: u32 = 9;
@@ -96,7 +97,8 @@
         }
     }
 
-    /// All units are given out, the sum holds, and whoever has the larger load has no fewer.
+    /// All needed units are granted, their sum stays within the limit, and a larger load never gets
+    /// fewer units, apart from rounding by one.
     #[test]
     fn units_follow_loads(limit in 0_u32..400, loads in proptest::collection::vec((0_u32..60_000, any::<bool>()), 0..40)) {
         let claimants: Vec<UnitClaimant> =
@@ -106,18 +108,18 @@
         prop_assert!(total <= limit);
         let counted = |claimant: &UnitClaimant| claimant.load_milli + if claimant.is_near { 1_000 } else { 0 };
         let sum: u32 = claimants.iter().map(counted).sum();
-        prop_assert!(sum == 0 || total >= limit.min(sum / 1_000), "{total} of {limit} are given for {sum}");
+        prop_assert!(sum == 0 || total >= limit.min(sum / 1_000), "{total} of {limit} are granted for {sum}");
         for (left, left_target) in claimants.iter().zip(&targets) {
             for (right, right_target) in claimants.iter().zip(&targets) {
                 prop_assert!(counted(left) < counted(right) || left_target + 1 >= *right_target);
             }
             let fits = sum <= limit * 1_000;
-            prop_assert!(!fits || left_target * 1_000 + 1_000 >= counted(left), "a load that fits is served");
+            prop_assert!(!fits || left_target * 1_000 + 1_000 >= counted(left), "a load that fits must be served");
         }
     }
 
-    /// In any minute, across planners that come and go, moved work grows by no more than the rule
-    /// allows, and never past its cap.
+    /// Within any minute, also across changes of the planner, moved requests grow by no more than
+    /// the rule allows, and never exceed the cap.
     #[test]
     fn ramps_stay_under_the_share_per_minute(
         concurrent in 0_u32..200,
@@ -149,7 +151,7 @@
 }
 
 #[test]
-fn a_suffering_receiver_makes_the_ramp_step_back() {
+fn refusals_at_the_receiver_lower_the_ramp() {
     let rule = ShiftRule {
         concurrent: 110,
         share_per_minute: 1.0,
@@ -169,7 +171,7 @@
     };
     assert!(
         !ramp.step(&rule, &evidence, Moment(STEP_PERIOD_MS + 1)),
-        "a step needs its whole period"
+        "no step may happen within a step period"
     );
     assert!(ramp.step(&rule, &evidence, Moment(2 * STEP_PERIOD_MS)));
     assert_eq!(ramp.allowance, 50);
--- a/tests/roles_claims.rs
+++ b/tests/roles_claims.rs
@@ -1,5 +1,5 @@
-//! The claim role under arbitrary orders of events: several owners at once, lost answers, writes
-//! that take effect late, outages. A key is granted to one attempt at most.
+//! Property tests of the claim role under arbitrary orders of events: several owners at once, lost
+//! answers, writes that take effect late, and outages. A key is granted to at most one attempt.
 
 use std::collections::{HashMap, HashSet};
 
@@ -20,17 +20,17 @@
 enum Event {
     Claim(usize, u64),
     Tick(usize, u64),
-    /// Carry out the oldest call of a host, and answer it.
+    /// Execute the oldest call of a host and deliver the answer.
     Answer(usize),
-    /// Carry it out, and lose the answer.
+    /// Execute the oldest call and lose the answer.
     LoseAnswer(usize),
     /// Lose the call itself.
     LoseCall(usize),
-    /// Say that the answer is lost, and carry the write out at some later event.
+    /// Report the answer as lost and execute the write at a later event.
     Delay(usize),
-    /// The oldest delayed write arrives after all.
+    /// Execute the oldest delayed write.
     Arrive,
-    /// A granted attempt proves not to have run, and gives its key back.
+    /// A granted attempt was certainly not run, and its key is released.
     Release(usize),
 }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    fn take(&mut self, host: usize, actions: Vec<ClaimAction>) {
+    fn handle_actions(&mut self, host: usize, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Answer { ticket, answer } => {
@@ -112,15 +112,15 @@
         }
     }
 
-    fn oldest(&mut self, host: usize) -> Option<ClaimAction> {
+    fn take_oldest_call(&mut self, host: usize) -> Option<ClaimAction> {
         (!self.calls[host].is_empty()).then(|| self.calls[host].remove(0))
     }
 
-    fn answer(&mut self, host: usize, call: ClaimAction, heard: bool, carried_out: bool) {
+    fn complete_call(&mut self, host: usize, call: ClaimAction, delivered: bool, executed: bool) {
         let now = Moment(self.now);
         let actions = match call {
             ClaimAction::Read(shard) => {
-                let result = if heard && carried_out {
+                let result = if delivered && executed {
                     self.store.read(shard)
                 } else {
                     ReadResult::Failed
@@ -132,12 +132,12 @@
                 bytes,
                 expected,
             } => {
-                let result = if carried_out {
+                let result = if executed {
                     self.store.write(shard, bytes, expected)
                 } else {
                     WriteResult::Uncertain
                 };
-                let result = if heard {
+                let result = if delivered {
                     result
                 } else {
                     WriteResult::Uncertain
@@ -146,7 +146,7 @@
             }
             ClaimAction::Answer { .. } => Vec::new(),
         };
-        self.take(host, actions);
+        self.handle_actions(host, actions);
     }
 
     fn step(&mut self, event: Event) {
@@ -155,27 +155,27 @@
             Event::Tick(host, millis) => {
                 self.now += millis;
                 let actions = self.roles[host].tick(Moment(self.now), &WALL);
-                self.take(host, actions);
+                self.handle_actions(host, actions);
             }
             Event::Answer(host) => {
-                if let Some(call) = self.oldest(host) {
-                    self.answer(host, call, true, true);
+                if let Some(call) = self.take_oldest_call(host) {
+                    self.complete_call(host, call, true, true);
                 }
             }
             Event::LoseAnswer(host) => {
-                if let Some(call) = self.oldest(host) {
-                    self.answer(host, call, false, true);
+                if let Some(call) = self.take_oldest_call(host) {
+                    self.complete_call(host, call, false, true);
                 }
             }
             Event::LoseCall(host) => {
-                if let Some(call) = self.oldest(host) {
-                    self.answer(host, call, false, false);
+                if let Some(call) = self.take_oldest_call(host) {
+                    self.complete_call(host, call, false, false);
                 }
             }
             Event::Delay(host) => {
-                if let Some(call) = self.oldest(host) {
+                if let Some(call) = self.take_oldest_call(host) {
                     self.delayed.push(call.clone());
-                    self.answer(host, call, false, false);
+                    self.complete_call(host, call, false, false);
                 }
             }
             Event::Arrive => {
@@ -212,17 +212,17 @@
             deadline,
         };
         let actions = self.roles[host].on_claim(request, Moment(self.now), &WALL);
-        self.take(host, actions);
+        self.handle_actions(host, actions);
     }
 
     fn release(&mut self, host: usize) {
-        let held = self
+        let granted = self
             .granted
             .values()
             .flatten()
             .copied()
             .find(|ticket| self.attempts[ticket].0 == host);
-        if let Some(ticket) = held {
+        if let Some(ticket) = granted {
             let (_, key, attempt) = self.attempts[&ticket].clone();
             self.granted
                 .get_mut(&key.digest)
--- a/tests/roles_controller.rs
+++ b/tests/roles_controller.rs
@@ -1,5 +1,6 @@
-//! The whole controller under hostile messages: extreme numbers, foreign objects, any order. It
-//! refuses what it must and never panics; its answers stay bounded.
+//! Property test of the complete controller with hostile input: extreme numbers, objects that this
+//! program did not write, and messages in any order. It must never panic, must refuse invalid
+//! input, and must return a bounded number of actions.
 
 use std::net::SocketAddr;
 
@@ -264,7 +265,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused_also_from_a_call() {
+fn a_change_with_numbers_out_of_range_is_refused() {
     let mut declaration = declared();
     declaration.servers[0].slots = u32::MAX;
     declaration.halls[0].capacity = u32::MAX;
