--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -98,8 +98,8 @@
         .is_some_and(|stored| stored.report.identity == host.identity)
 }
 
-/// Whether a later incarnation of the host listens on the same address, which proves that this one
-/// has ended.
+/// Whether a later run of the host listens on the same address, which proves that this one has
+/// ended.
 fn is_superseded(host: &plan::PlanHost, known: &[plan::PlanHost]) -> bool {
     known.iter().any(|other| {
         other.identity.name == host.identity.name
@@ -274,7 +274,7 @@
     }
 }
 
-/// Units held by hosts that don't participate: silent or leaving ones, and earlier incarnations.
+/// Units held by hosts that don't participate: silent or leaving ones, and earlier runs.
 fn inactive_units(place: &budget::PlaceBudget, hosts: &[&report::HostReport]) -> u32 {
     let participates =
         |identity: &member::HostIdentity| hosts.iter().any(|host| host.identity == *identity);
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -65,7 +65,7 @@
     pub number: usize,
     /// The host's settings.
     pub settings: sync::Arc<HostSettings>,
-    /// The host and the incarnation of its process.
+    /// The host and the run of its process.
     pub identity: HostIdentity,
     /// The listening socket for callers, shared by all workers.
     pub listener: net::TcpListener,
