--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,4 +1,4 @@
-//! The state of the host as shown to operators.
+//! The status of the host for operators.
 
 use super::HostController;
 use crate::control_message::{HostStatus, PlaceStatus};
@@ -35,7 +35,7 @@
     }
 
     fn place_statuses(&self) -> Vec<PlaceStatus> {
-        let usage = self.joined_usage();
+        let usage = self.total_usage();
         let mut places: Vec<PlaceStatus> = self
             .grants
             .grants
--- a/src/lookup.rs
+++ b/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The answer to "which entry hosts shall I use?", rendered before it is asked for.
+//! Look-up answers: which entry hosts a caller should use. All answers are rendered in advance.
 
 use std::{collections, net, sync};
 
@@ -8,37 +8,37 @@
 
 use crate::{block_map, declaration, member, topology};
 
-/// How long a caller may keep an answer, in milliseconds: short, since leaving hosts must stop
-/// being used within seconds.
+/// How long a caller may cache an answer, in milliseconds. It is short, because leaving hosts must
+/// stop being used within seconds.
 pub const LOOKUP_TTL_MS: u64 = 2_000;
-/// Hosts named in one answer.
-const RANKED_HOSTS: usize = 4;
-/// Different orders of equally near hosts, so that blocks spread over them.
-const VARIANTS: usize = 8;
+/// Maximum number of hosts in one answer.
+const MAX_HOSTS_PER_ANSWER: usize = 4;
+/// Number of different orders of equally near hosts, which spread the blocks over them.
+const VARIANT_COUNT: usize = 8;
 
 /// One entry host in an answer.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RankedHost {
     /// Its name.
     pub name: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub address: net::SocketAddr,
-    /// The hall that it stands in.
+    /// The hall of the host.
     pub hall: String,
 }
 
 /// The answer to a look-up.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LookupAnswer {
-    /// The service asked for.
+    /// The requested service.
     pub service: String,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the answer may be cached, in milliseconds.
     pub ttl_ms: u64,
     /// Entry hosts, best first.
     pub hosts: Vec<RankedHost>,
 }
 
-/// Answers by service, hall and variant, with the block map that picks among them.
+/// Rendered answers by service, hall and variant, with the block map that selects among them.
 #[derive(Debug, Default)]
 pub struct LookupTable {
     map: sync::Arc<block_map::BlockMap>,
@@ -52,19 +52,19 @@
 pub enum LookupFault {
     /// The service is not declared.
     ServiceUnknown,
-    /// No entry host can be offered.
+    /// No entry host is available.
     NoHost,
 }
 
 impl LookupTable {
-    /// Renders all answers for the hosts that may be offered.
+    /// Renders the answers for all services, halls and variants.
     #[must_use]
     pub fn new(topology: &topology::SteeringTopology, members: &[member::MemberRecord]) -> Self {
         let map = sync::Arc::new(block_map::BlockMap::from_topology(topology));
         Self::with_map(map, topology, members)
     }
 
-    /// Renders all answers over a map that is computed already.
+    /// Renders the answers over a block map that was already computed.
     #[must_use]
     pub fn with_map(
         map: sync::Arc<block_map::BlockMap>,
@@ -85,46 +85,46 @@
         table
     }
 
-    /// The block map, to render other answers over it.
+    /// The block map, to be reused for other tables.
     #[must_use]
     pub const fn map(&self) -> &sync::Arc<block_map::BlockMap> {
         &self.map
     }
 
     fn render(&mut self, topology: &topology::SteeringTopology, members: &[member::MemberRecord]) {
-        let offered = offered_hosts(topology, members);
+        let advertised = advertised_hosts(topology, members);
         for service in &topology.services {
             for hall in 0..self.hall_count {
-                for variant in 0..VARIANTS {
-                    let hosts = rank_hosts(topology, &offered, hall, variant);
+                for variant in 0..VARIANT_COUNT {
+                    let hosts = rank_hosts(topology, &advertised, hall, variant);
                     self.answers.push(render_answer(&service.entry.name, hosts));
                 }
             }
         }
     }
 
-    /// The rendered answer for a caller; `near` is the answering host's own hall, for callers
+    /// The rendered answer for a caller. `own_hall` is the hall of the answering host, for callers
     /// that no block covers.
     ///
     /// # Errors
-    /// [`LookupFault`] when the service is unknown or nobody can be offered.
+    /// [`LookupFault`] if the service is unknown or no host is available.
     pub fn find(
         &self,
         service: &str,
         caller: net::IpAddr,
-        near: topology::HallId,
+        own_hall: topology::HallId,
     ) -> Result<Bytes, LookupFault> {
         let service = *self
             .services
             .get(service)
             .ok_or(LookupFault::ServiceUnknown)?;
         let place = self.map.find(caller).unwrap_or(block_map::BlockPlace {
-            hall: near,
+            hall: own_hall,
             hash: 0,
         });
-        let variant = usize::try_from(place.hash % VARIANTS as u64).unwrap_or_default();
+        let variant = usize::try_from(place.hash % VARIANT_COUNT as u64).unwrap_or_default();
         let hall = place.hall.index().min(self.hall_count - 1);
-        let position = (service * self.hall_count + hall) * VARIANTS + variant;
+        let position = (service * self.hall_count + hall) * VARIANT_COUNT + variant;
         self.answers
             .get(position)
             .cloned()
@@ -132,7 +132,7 @@
             .ok_or(LookupFault::NoHost)
     }
 
-    /// The block place of a caller.
+    /// The place of the caller's block.
     #[must_use]
     pub fn place_of(&self, caller: net::IpAddr) -> Option<block_map::BlockPlace> {
         self.map.find(caller)
@@ -144,7 +144,7 @@
         self.map.block_count()
     }
 
-    /// Bytes held by the map and the answers.
+    /// Memory used by the block map and the answers, in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let answers: usize = self.answers.iter().flatten().map(Bytes::len).sum();
@@ -152,16 +152,16 @@
     }
 }
 
-struct OfferedHost<'m> {
+struct AdvertisedHost<'m> {
     record: &'m member::MemberRecord,
     hall: topology::HallId,
     region: topology::RegionId,
 }
 
-fn offered_hosts<'m>(
+fn advertised_hosts<'m>(
     topology: &topology::SteeringTopology,
     members: &'m [member::MemberRecord],
-) -> Vec<OfferedHost<'m>> {
+) -> Vec<AdvertisedHost<'m>> {
     let drained = |record: &member::MemberRecord| {
         topology
             .declaration
@@ -170,32 +170,34 @@
                 .declaration
                 .is_draining(declaration::DrainKind::Hall, &record.hall)
     };
-    let open = members
+    let available = members
         .iter()
         .filter(|record| record.is_offered() && !drained(record));
-    open.filter_map(|record| {
-        let hall = topology.hall_id(&record.hall)?;
-        Some(OfferedHost {
-            record,
-            hall,
-            region: topology.region_of(hall)?,
+    available
+        .filter_map(|record| {
+            let hall = topology.hall_id(&record.hall)?;
+            Some(AdvertisedHost {
+                record,
+                hall,
+                region: topology.region_of(hall)?,
+            })
         })
-    })
-    .collect()
+        .collect()
 }
 
-/// Same hall first, then the same region, then other regions by latency; suspects last in each.
+/// Ranks hosts: the same hall first, then the same region, then other regions by latency. Suspect
+/// hosts come last.
 fn rank_hosts<'m>(
     topology: &topology::SteeringTopology,
-    offered: &[OfferedHost<'m>],
+    advertised: &[AdvertisedHost<'m>],
     hall: usize,
     variant: usize,
 ) -> Vec<&'m member::MemberRecord> {
     let Some(home) = topology.halls.get(hall) else {
         return Vec::new();
     };
-    let mut order: Vec<&OfferedHost<'m>> = offered.iter().collect();
-    let mut random = rand::rngs::SmallRng::seed_from_u64((hall * VARIANTS + variant) as u64);
+    let mut order: Vec<&AdvertisedHost<'m>> = advertised.iter().collect();
+    let mut random = rand::rngs::SmallRng::seed_from_u64((hall * VARIANT_COUNT + variant) as u64);
     order.shuffle(&mut random);
     order.sort_by_key(|host| {
         let suspect = host.record.state == member::HostState::Suspect;
@@ -207,7 +209,7 @@
     });
     order
         .into_iter()
-        .take(RANKED_HOSTS)
+        .take(MAX_HOSTS_PER_ANSWER)
         .map(|host| host.record)
         .collect()
 }
--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -1,4 +1,5 @@
-//! The next plan, computed from the committed one and what hosts reported. Pure.
+//! Computes the next plan from the committed one and the reports of hosts, without side effects
+//! outside its arguments.
 
 use std::collections;
 
@@ -6,7 +7,7 @@
 use crate::timer;
 use crate::{allocation, budget, member, plan, ramp, report, roster, topology};
 
-/// Computes the next plan from the committed one and what hosts reported.
+/// Computes the next plan.
 pub(super) fn draft_plan(
     me: &member::HostIdentity,
     leader: &mut LeaderState,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Adds reporting hosts, notes who is listed, and releases what gone hosts held.
+/// Adds reporting hosts, records which hosts are listed, and releases the units of removed hosts.
 fn update_hosts(
     draft: &mut plan::SteeringPlan,
     reports: &collections::HashMap<String, StoredReport>,
@@ -71,24 +72,24 @@
     draft
         .hosts
         .sort_by(|left, right| left.identity.cmp(&right.identity));
-    let mut gone = Vec::new();
+    let mut removed = Vec::new();
     let known = draft.hosts.clone();
     for host in &mut draft.hosts {
-        if is_superseded(host, &known) || (roster.is_gone(host) && !reports_now(host, reports)) {
-            gone.push(host.identity.clone());
+        if is_superseded(host, &known) || (roster.is_gone(host) && !is_reporting(host, reports)) {
+            removed.push(host.identity.clone());
         } else if host.listed_at == 0 {
             host.listed_at = roster.listed_version(host).unwrap_or(0);
         }
     }
-    draft.hosts.retain(|host| !gone.contains(&host.identity));
-    for identity in &gone {
+    draft.hosts.retain(|host| !removed.contains(&host.identity));
+    for identity in &removed {
         for budget in &mut draft.budgets {
             budget.release(identity);
         }
     }
 }
 
-fn reports_now(
+fn is_reporting(
     host: &plan::PlanHost,
     reports: &collections::HashMap<String, StoredReport>,
 ) -> bool {
@@ -97,7 +98,8 @@
         .is_some_and(|stored| stored.report.identity == host.identity)
 }
 
-/// A later run that listens on the same address proves the earlier one gone.
+/// Whether a later run of the host listens on the same address, which proves that this one has
+/// ended.
 fn is_superseded(host: &plan::PlanHost, known: &[plan::PlanHost]) -> bool {
     known.iter().any(|other| {
         other.identity.name == host.identity.name
@@ -148,13 +150,13 @@
     for link in &view.topology.declaration.links {
         for (from, to) in [(&link.from, &link.to), (&link.to, &link.from)] {
             let key = budget::PlaceKey::with_route(&service.entry.name, from, to);
-            let seen = gather_evidence(&key, service, to, loads, evidence, view.topology);
+            let ramp_evidence = collect_evidence(&key, service, to, loads, evidence, view.topology);
             let start = ramp::RouteRamp::initial_allowance(&rule);
             let ramps = &mut leader.ramps;
             let ramp = ramps
                 .entry(key.clone())
                 .or_insert_with(|| ramp::RouteRamp::with_allowance(start, now));
-            if ramp.step(&rule, &seen, now) {
+            if ramp.step(&rule, &ramp_evidence, now) {
                 clear_evidence(service, to, evidence, view.topology);
             }
             limits.push(PlaceLimit {
@@ -165,7 +167,7 @@
     }
 }
 
-fn gather_evidence(
+fn collect_evidence(
     key: &budget::PlaceKey,
     service: &topology::ServiceTopology,
     to: &str,
@@ -176,17 +178,17 @@
     let of_place = loads.iter().filter(|((_, place), _)| place == key);
     let milli = budget::total(of_place.map(|(_, load)| load.milli));
     let demand = milli.div_ceil(1_000);
-    let mut seen = ramp::RampEvidence {
+    let mut ramp_evidence = ramp::RampEvidence {
         demand,
         ..ramp::RampEvidence::default()
     };
     for hall in receiving_halls(service, to, topology) {
         if let Some(&(completed, refused)) = evidence.get(&hall) {
-            seen.completed = seen.completed.saturating_add(completed);
-            seen.refused = seen.refused.saturating_add(refused);
+            ramp_evidence.completed = ramp_evidence.completed.saturating_add(completed);
+            ramp_evidence.refused = ramp_evidence.refused.saturating_add(refused);
         }
     }
-    seen
+    ramp_evidence
 }
 
 fn clear_evidence(
@@ -235,7 +237,7 @@
     }
 }
 
-/// Lowers first, then raises from what is free.
+/// Adjusts the grants of a place: lowers first, then raises from the free units.
 fn rebalance(
     budget: &mut budget::PlaceBudget,
     reports: &collections::HashMap<String, StoredReport>,
@@ -255,12 +257,12 @@
             load_milli: loads
                 .get(&(host.identity.name.clone(), budget.key.clone()))
                 .map_or(0, |load| load.milli),
-            is_near: is_near(&budget.key, &host.hall, topology),
+            is_near: is_local(&budget.key, &host.hall, topology),
         })
         .collect();
-    let reserved = silent_units(budget, &hosts);
+    let reserved = inactive_units(budget, &hosts);
     let targets = allocation::split_units(budget.limit.saturating_sub(reserved), &claimants);
-    lower_others(budget, reports, sequence);
+    lower_leaving(budget, reports, sequence);
     if !is_rebalance_due(budget, &hosts, &targets) {
         return;
     }
@@ -272,19 +274,19 @@
     }
 }
 
-/// Units that hosts hold which do not take part: silent, leaving or of an earlier run.
-fn silent_units(place: &budget::PlaceBudget, hosts: &[&report::HostReport]) -> u32 {
-    let takes_part =
+/// Units held by hosts that don't participate: silent or leaving ones, and earlier runs.
+fn inactive_units(place: &budget::PlaceBudget, hosts: &[&report::HostReport]) -> u32 {
+    let participates =
         |identity: &member::HostIdentity| hosts.iter().any(|host| host.identity == *identity);
     let others = place
         .entries
         .iter()
-        .filter(|entry| !takes_part(&entry.host));
+        .filter(|entry| !participates(&entry.host));
     budget::total(others.map(|entry| entry.held))
 }
 
-/// A leaving host that still reports gives its units back.
-fn lower_others(
+/// Lowers the grants of leaving hosts that still report to zero.
+fn lower_leaving(
     budget: &mut budget::PlaceBudget,
     reports: &collections::HashMap<String, StoredReport>,
     sequence: u64,
@@ -294,7 +296,7 @@
     }
 }
 
-/// Units move only when that helps: someone lacks its share, or the limit changed.
+/// Whether to move units: only if a host has too few, units are free or the limit was lowered.
 fn is_rebalance_due(
     budget: &budget::PlaceBudget,
     hosts: &[&report::HostReport],
@@ -310,8 +312,8 @@
     })
 }
 
-/// Whether a host stands in the region of a hall, or at either end of a route.
-fn is_near(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
+/// Whether a host is in the region of a hall, or in a region at either end of a route.
+fn is_local(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
     let region_name = |hall: &str| {
         let region = topology
             .hall_id(hall)
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,17 +1,18 @@
-//! The retry budget of a service: retries are a share of successes, so they never multiply load.
+//! The retry budget of a service. Retries are limited to a share of the successes, so that they
+//! can't multiply load.
 
-/// Retries that may be saved up.
-const MAX_SAVED: f64 = 10.0;
+/// Retries that may accumulate.
+const MAX_TOKENS: f64 = 10.0;
 
-/// A bucket that successes fill and retries empty.
+/// A token bucket that successes fill and retries empty.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     share: f64,
-    saved: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget that allows `share` retries for each success.
+    /// A budget that allows `share` retries for each success and starts with one.
     ///
     /// ```
     /// use ledgespool::retry;
@@ -21,25 +22,25 @@
     /// ```
     #[must_use]
     pub const fn with_share(share: f64) -> Self {
-        Self { share, saved: 1.0 }
+        Self { share, tokens: 1.0 }
     }
 
-    /// Changes the share, as a new declaration may.
+    /// Changes the share, after a new declaration.
     pub const fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// A request succeeded.
+    /// Records a successful request.
     pub fn on_success(&mut self) {
-        self.saved = (self.saved + self.share).min(MAX_SAVED);
+        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry if one is available.
     pub fn try_retry(&mut self) -> bool {
-        if self.share <= 0.0 || self.saved < 1.0 {
+        if self.share <= 0.0 || self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/src/steering/mod.rs
+++ b/src/steering/mod.rs
@@ -1,19 +1,19 @@
-//! The steering role of one worker: admits, holds or refuses a request on its arrival, and picks
+//! The steering role of one worker. It admits, queues or refuses a request on arrival, and selects
 //! its hall and backend server within the worker's slice of the host's grants.
 //!
 //! Memory: one counter for each place and route of the declaration, one health record for each
-//! backend server, one estimate for each class; what a new declaration drops goes once unused.
-//! Waiting requests are bounded by their line.
+//! backend server, and one estimate for each class. Entries that a new declaration no longer
+//! contains are removed once they are unused. Queues are bounded.
 
 mod attempts;
 mod choice;
 mod compile;
-mod figures;
-mod line;
-mod order;
-mod placing;
+mod placement;
+mod queue;
+mod ranking;
 mod request;
 mod unit;
+mod usage;
 mod waiting;
 
 use std::{collections, sync};
@@ -22,8 +22,8 @@
 
 use choice::HealthTable;
 use compile::{ClassChoice, ServiceChoice};
-use line::{WaitEntry, WaitingLine};
-use placing::PlaceOutcome;
+use placement::PlaceOutcome;
+use queue::{WaitEntry, WaitQueue};
 pub use request::{
     AdmitDecision, AttemptResult, ChosenServer, RequestAdmission, RequestFacts, RequestRefusal,
     WaitTicket,
@@ -38,18 +38,19 @@
 use crate::timer;
 use crate::topology::{RegionId, ServiceId, SteeringTopology};
 
-/// Come-back times lie in this range, in milliseconds.
-const COME_BACK_MS: std::ops::RangeInclusive<u64> = 50..=5_000;
-/// Come-back time where only time can help: no host, no server, no configuration.
-pub const COME_BACK_LONG_MS: u64 = 1_000;
+/// Range of retry times that are sent to refused callers, in milliseconds.
+const RETRY_AFTER_RANGE_MS: std::ops::RangeInclusive<u64> = 50..=5_000;
+/// Retry time if the request can't be served for now: no host, no server or no configuration.
+pub const UNAVAILABLE_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Which decisions a worker takes.
+/// How a worker selects servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SteeringPolicy {
-    /// Those of this project.
+    /// Budgets, health and load decide.
     #[default]
     Steered,
-    /// The baseline of measurements: servers in turn over all halls, no budget, always a retry.
+    /// The baseline for measurements: round robin over the servers of all halls, no budget, always
+    /// a retry.
     Naive,
 }
 
@@ -61,7 +62,7 @@
     own_region: Option<RegionId>,
     topology: Option<sync::Arc<SteeringTopology>>,
     services: collections::HashMap<String, ServiceChoice>,
-    lines: collections::HashMap<String, WaitingLine>,
+    queues: collections::HashMap<String, WaitQueue>,
     units: SlotTable<PlaceKey, UnitCounter>,
     servers: HealthTable,
     estimates: SlotTable<(String, String), AnswerEstimate>,
@@ -70,20 +71,20 @@
     window_start: timer::Moment,
     random: rand::rngs::SmallRng,
     next_ticket: u64,
-    turn: usize,
+    round_robin: usize,
 }
 
-/// A waiting request's end: it got a unit, or it is refused.
+/// How the wait of a request ended: it was admitted or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WaitEnd {
-    /// Which request.
+pub struct WaitOutcome {
+    /// The ticket of the request.
     pub ticket: WaitTicket,
-    /// How it ended.
+    /// The admission or the refusal.
     pub result: Result<RequestAdmission, RequestRefusal>,
 }
 
 impl SteeringRole {
-    /// A worker of a host in `own_hall` that has neither topology nor grants.
+    /// A worker of a host in `own_hall` without topology and grants.
     #[must_use]
     pub fn new(own_hall: &str, policy: SteeringPolicy, seed: u64) -> Self {
         Self {
@@ -92,7 +93,7 @@
             own_region: None,
             topology: None,
             services: collections::HashMap::new(),
-            lines: collections::HashMap::new(),
+            queues: collections::HashMap::new(),
             units: SlotTable::default(),
             servers: SlotTable::default(),
             estimates: SlotTable::default(),
@@ -101,23 +102,23 @@
             window_start: timer::Moment::default(),
             random: rand::rngs::SmallRng::seed_from_u64(seed),
             next_ticket: 0,
-            turn: 0,
+            round_robin: 0,
         }
     }
 
-    /// The topology in force.
+    /// The active topology.
     #[must_use]
     pub const fn topology(&self) -> Option<&sync::Arc<SteeringTopology>> {
         self.topology.as_ref()
     }
 
-    /// The plan sequence in force.
+    /// The sequence of the active plan.
     #[must_use]
     pub const fn installed_sequence(&self) -> u64 {
         self.grants.sequence
     }
 
-    /// Puts a topology in force; an older one is ignored.
+    /// Applies a topology; an older one is ignored.
     pub fn install_topology(&mut self, topology: &sync::Arc<SteeringTopology>, now: timer::Moment) {
         if self
             .topology
@@ -137,29 +138,29 @@
             services.insert(service.entry.name.clone(), choice);
         }
         self.services = services;
-        self.drop_unused(topology);
+        self.remove_unused(topology);
         self.apply_grants();
     }
 
-    fn drop_unused(&mut self, topology: &SteeringTopology) {
+    fn remove_unused(&mut self, topology: &SteeringTopology) {
         let mut units: collections::HashSet<SlotIndex> = collections::HashSet::new();
         for service in self.services.values() {
             units.extend(
                 service
-                    .near
+                    .local
                     .iter()
-                    .chain(&service.far)
+                    .chain(&service.remote)
                     .map(|place| place.place),
             );
             units.extend(service.routes.values());
         }
         let table = &self.units;
-        let kept: collections::HashSet<PlaceKey> = units
+        let used: collections::HashSet<PlaceKey> = units
             .iter()
             .filter_map(|&slot| table.key_of(slot).cloned())
             .collect();
         self.units
-            .retain(|key, counter| counter.in_use > 0 || kept.contains(key));
+            .retain(|key, counter| counter.in_use > 0 || used.contains(key));
         self.servers.retain(|(name, address), health| {
             let declared = topology
                 .servers
@@ -169,7 +170,7 @@
         });
     }
 
-    /// Puts grants in force; older ones are ignored.
+    /// Applies grants; older ones are ignored.
     pub fn install_grants(&mut self, grants: &plan::HostGrants) {
         if grants.sequence > self.grants.sequence {
             self.grants = grants.clone();
@@ -186,21 +187,21 @@
                 && let Some(counter) = self.units.get_mut(slot)
             {
                 counter.grant = grant.units;
-                self.deal_grant(slot, grant.offset, grant.units);
+                self.assign_grant(slot, grant.offset, grant.units);
             }
         }
     }
 
-    fn deal_grant(&mut self, slot: SlotIndex, offset: u32, units: u32) {
+    fn assign_grant(&mut self, slot: SlotIndex, offset: u32, units: u32) {
         for service in self.services.values_mut() {
-            let mut places = service.near.iter_mut().chain(&mut service.far);
+            let mut places = service.local.iter_mut().chain(&mut service.remote);
             if let Some(place) = places.find(|place| place.place == slot) {
-                compile::deal_slots(&mut place.servers, offset, units);
+                compile::assign_slots(&mut place.servers, offset, units);
             }
         }
     }
 
-    /// Admits a request, holds it, or refuses it on its arrival.
+    /// Admits, queues or refuses a request on arrival.
     pub fn admit(&mut self, facts: &RequestFacts<'_>, now: timer::Moment) -> AdmitDecision {
         let Some(service) = self.services.get(facts.service) else {
             return AdmitDecision::Refused(self.unknown_service());
@@ -228,21 +229,21 @@
             ),
         };
         if self.is_too_late(&service.classes[class], &entry, now) {
-            return AdmitDecision::Refused(placing::too_late());
+            return AdmitDecision::Refused(placement::deadline_refusal());
         }
         let ahead = self
-            .lines
+            .queues
             .get(facts.service)
-            .map_or(0, |line| line.ahead_of(service.classes[class].weight));
+            .map_or(0, |queue| queue.count_ahead(service.classes[class].weight));
         let placed = if ahead == 0 {
             self.place(facts.service, &entry, now)
         } else {
-            PlaceOutcome::NoRoom
+            PlaceOutcome::NoCapacity
         };
         match placed {
             PlaceOutcome::Admitted(admission) => AdmitDecision::Admitted(admission),
-            PlaceOutcome::NoServer => AdmitDecision::Refused(placing::no_server()),
-            PlaceOutcome::NoRoom => self.hold_or_refuse(facts.service, entry, ahead, now),
+            PlaceOutcome::NoServer => AdmitDecision::Refused(placement::no_server_refusal()),
+            PlaceOutcome::NoCapacity => self.enqueue_or_refuse(facts.service, entry, ahead, now),
         }
     }
 
@@ -255,11 +256,11 @@
         }
         RequestRefusal {
             code: ResultCode::ConfigurationMissing,
-            retry_after_ms: Some(COME_BACK_LONG_MS),
+            retry_after_ms: Some(UNAVAILABLE_RETRY_AFTER_MS),
         }
     }
 
-    /// Whether not even the fastest answer would come in time.
+    /// Whether even the fastest answer would miss the deadline.
     fn is_too_late(&self, class: &ClassChoice, entry: &WaitEntry, now: timer::Moment) -> bool {
         let time_left = entry.deadline.since(now);
         let fastest = self
@@ -269,15 +270,15 @@
         time_left == 0 || (time_left as f64) < fastest
     }
 
-    /// Gives no new work to the named backend servers, and lifts that from all others.
+    /// Marks exactly these backend servers as leaving: they get no new requests.
     pub fn set_leaving_servers(&mut self, names: &[String]) {
         for ((name, _), health) in self.servers.iter_mut() {
             health.set_leaving(names.contains(name));
         }
     }
 
-    /// The server of an admission says itself that it leaves: it gets no new work from here on.
-    /// Returns its name, for the other workers and hosts.
+    /// Marks an admission's server as leaving because it announced its shutdown. Returns its name
+    /// if it was not marked before, for the other workers and hosts.
     pub fn mark_leaving(&mut self, admission: &RequestAdmission) -> Option<String> {
         let health = self.servers.get_mut(admission.server.slot)?;
         if health.is_leaving() {
--- a/src/steering/unit.rs
+++ b/src/steering/unit.rs
@@ -1,6 +1,6 @@
-//! How one worker uses its slice of a grant.
+//! Counts how one worker uses its slice of a grant.
 
-/// Use of a place or route by this worker.
+/// Usage of a place or route by this worker.
 #[derive(Debug, Default)]
 pub(super) struct UnitCounter {
     pub(super) grant: u32,
@@ -10,20 +10,20 @@
     pub(super) refused_ms: f64,
     /// This place's share of the waiting requests.
     pub(super) waiting: f64,
-    /// How long answers of the place take, in milliseconds; 0 before the first.
+    /// Average answer time of the place, in milliseconds; 0 before the first answer.
     pub(super) answer_ms: f64,
 }
 
 impl UnitCounter {
-    pub(super) const fn has_room(&self) -> bool {
+    pub(super) const fn has_free_unit(&self) -> bool {
         self.in_use < self.grant
     }
 
-    pub(super) const fn take(&mut self) {
+    pub(super) const fn acquire(&mut self) {
         self.in_use += 1;
     }
 
-    pub(super) fn note_answer(&mut self, answer_ms: f64) {
+    pub(super) fn record_answer(&mut self, answer_ms: f64) {
         let before = if self.answer_ms == 0.0 {
             answer_ms
         } else {
@@ -32,12 +32,12 @@
         self.answer_ms = before + AnswerEstimate::AVERAGE_WEIGHT * (answer_ms - before);
     }
 
-    pub(super) const fn put_back(&mut self) {
+    pub(super) const fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 }
 
-/// How long a class's answers take, in milliseconds.
+/// Answer times of a class, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AnswerEstimate {
     pub(super) answer_ms: f64,
@@ -45,22 +45,23 @@
 }
 
 impl AnswerEstimate {
-    /// What is assumed of a class that was never answered.
-    pub(super) const FIRST: Self = Self {
+    /// The estimate before the first answer.
+    pub(super) const INITIAL: Self = Self {
         answer_ms: 20.0,
         fastest_ms: 0.0,
     };
     const AVERAGE_WEIGHT: f64 = 0.1;
-    /// The fastest answer seen is forgotten at this rate, should the class have become slower.
-    const FASTEST_DRIFT: f64 = 1.01;
+    /// The fastest time grows by this factor with each answer, so that it adapts if the class has
+    /// become slower.
+    const FASTEST_GROWTH: f64 = 1.01;
 
-    /// An answer came after so many milliseconds.
-    pub(super) fn note(&mut self, answer_ms: f64) {
+    /// Records an answer time.
+    pub(super) fn record(&mut self, answer_ms: f64) {
         self.answer_ms += Self::AVERAGE_WEIGHT * (answer_ms - self.answer_ms);
         self.fastest_ms = if self.fastest_ms == 0.0 {
             answer_ms
         } else {
-            answer_ms.min(self.fastest_ms * Self::FASTEST_DRIFT)
+            answer_ms.min(self.fastest_ms * Self::FASTEST_GROWTH)
         };
     }
 }
--- a/src/worker/answer.rs
+++ b/src/worker/answer.rs
@@ -1,4 +1,5 @@
-//! Answers to callers: refusals with their codes, and streamed answers of backend servers.
+//! Builds responses to callers: refusals with a result code, and streamed answers of backend
+//! servers.
 
 use std::{io, pin, task, time};
 
@@ -7,7 +8,7 @@
 use http_body_util::{BodyExt as _, Full};
 use hyper::body::{Frame, Incoming, SizeHint};
 
-use super::streamed::AnsweredRequest;
+use super::answer_stream::AnsweredRequest;
 use crate::result_code::{RequestOutcome, ResultCode};
 
 pub(super) use crate::result_code::CODE_HEADER;
@@ -16,17 +17,17 @@
 pub(super) const RETRY_HEADER: &str = "x-ledgespool-retry-after-ms";
 pub(super) const LOOKUP_HEADER: &str = "x-ledgespool-lookup";
 
-/// A server may pause this long within an answer before it counts as broken.
-const STALL_LIMIT: time::Duration = time::Duration::from_secs(10);
+/// A server that sends nothing for this long within an answer counts as broken.
+const STALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// A final answer that was not made by a backend server.
+/// A final response that this host makes itself, instead of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct CallerRefusal {
     pub(super) code: ResultCode,
     pub(super) retry_after_ms: Option<u64>,
-    /// The id of the request, once it is known.
+    /// The request's id, once it has been read.
     pub(super) request_id: Option<String>,
-    /// The recorded status of a repeated claim.
+    /// The recorded status, when the claim key was already used.
     pub(super) recorded_status: Option<u16>,
 }
 
@@ -46,11 +47,11 @@
     }
 }
 
-/// The refusal of a worker that is not set up; it is refused before anything was sent.
+/// The refusal of a worker that is not set up. Nothing was sent to a server.
 pub(super) const fn internal_refusal() -> CallerRefusal {
     CallerRefusal::with_code(
         ResultCode::WorkRejected,
-        Some(crate::steering::COME_BACK_LONG_MS),
+        Some(crate::steering::UNAVAILABLE_RETRY_AFTER_MS),
     )
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// Renders a refusal: status, headers, and a body that says the same for people.
+/// Renders a refusal: status, headers, and a JSON body with the same content.
 pub(super) fn refusal_response(refusal: &CallerRefusal) -> http::Response<Body> {
     let outcome = refusal.code.outcome().unwrap_or(RequestOutcome::Unknown);
     let body = serde_json::json!({
@@ -94,7 +95,7 @@
     response
 }
 
-/// An answer that gotham made itself, such as that for an unknown path, gets a code too.
+/// Adds a result code to responses that gotham makes itself, such as 404 for an unknown path.
 pub(super) fn with_code(response: http::Response<Body>) -> http::Response<Body> {
     if response.headers().contains_key(CODE_HEADER) {
         return response;
@@ -111,13 +112,13 @@
     }
 }
 
-/// Tells the caller to look up before its next request.
-pub(super) fn send_to_look_up(headers: &mut http::HeaderMap) {
+/// Asks the caller to repeat its look-up before the next request.
+pub(super) fn request_new_lookup(headers: &mut http::HeaderMap) {
     put(headers, LOOKUP_HEADER, "again");
 }
 
-/// Marks the head of a server's answer for the caller.
-pub(super) fn mark_answered(
+/// Adds this host's headers to a server's answer.
+pub(super) fn add_answer_headers(
     headers: &mut http::HeaderMap,
     request_id: &str,
     hall: &str,
@@ -128,7 +129,7 @@
     put(headers, REQUEST_HEADER, request_id);
     put(headers, "x-ledgespool-hall", hall);
     if leaving {
-        send_to_look_up(headers);
+        request_new_lookup(headers);
         headers.insert(
             http::header::CONNECTION,
             http::HeaderValue::from_static("close"),
@@ -136,10 +137,10 @@
     }
 }
 
-/// Streams a server's answer; whatever ends it, the request is finished exactly once.
+/// Streams a server's answer and finishes the request exactly once, however the stream ends.
 ///
-/// A break turns into an error of the body, which cuts the caller's connection: the missing end is
-/// visible, and a part is never shown as the whole.
+/// A broken stream becomes an error of the body, which closes the caller's connection, so that the
+/// caller never takes a partial answer for a complete one.
 pub(super) struct AnswerBody {
     inner: Incoming,
     request: Option<AnsweredRequest>,
@@ -159,13 +160,13 @@
         body
     }
 
-    fn finish(&mut self, whole: bool) {
+    fn finish(&mut self, complete: bool) {
         if let Some(request) = self.request.take() {
-            request.finish(whole);
+            request.finish(complete);
         }
     }
 
-    fn broken(&mut self, detail: &str) -> task::Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn fail_stream(&mut self, detail: &str) -> task::Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         self.finish(false);
         task::Poll::Ready(Some(Err(io::Error::new(
             io::ErrorKind::UnexpectedEof,
@@ -190,7 +191,7 @@
                 }
                 task::Poll::Ready(Some(Ok(frame)))
             }
-            task::Poll::Ready(Some(Err(fault))) => self.broken(&fault.to_string()),
+            task::Poll::Ready(Some(Err(fault))) => self.fail_stream(&fault.to_string()),
             task::Poll::Ready(None) => {
                 self.finish(true);
                 task::Poll::Ready(None)
@@ -198,9 +199,9 @@
             task::Poll::Pending => {
                 let stall = self
                     .stall
-                    .get_or_insert_with(|| Box::pin(tokio::time::sleep(STALL_LIMIT)));
+                    .get_or_insert_with(|| Box::pin(tokio::time::sleep(STALL_TIMEOUT)));
                 match stall.as_mut().poll(cx) {
-                    task::Poll::Ready(()) => self.broken("the answer stalled"),
+                    task::Poll::Ready(()) => self.fail_stream("the answer stalled"),
                     task::Poll::Pending => task::Poll::Pending,
                 }
             }
--- a/src/worker/claiming.rs
+++ b/src/worker/claiming.rs
@@ -1,27 +1,27 @@
-//! Claiming the key of a request that may not be repeated, before anything is sent.
+//! Claims the key of a request that must not be repeated, before anything is sent.
 
+use super::admitted::AdmittedRequest;
 use super::answer::{self, CallerRefusal};
 use super::head::RequestHead;
-use super::held::HeldRequest;
 use super::with_worker;
 use crate::claim::{ClaimAttempt, ClaimKey};
 use crate::claim_role::ClaimRequest;
 use crate::control_message::{ClaimDecision, ControlAnswer, ControlInput};
 use crate::result_code::ResultCode;
-use crate::steering::COME_BACK_LONG_MS;
+use crate::steering::UNAVAILABLE_RETRY_AFTER_MS;
 use crate::timer;
 
-/// A claim must be decided within this time, whatever the deadline.
-const CLAIM_LIMIT_MS: u64 = 2_000;
+/// Upper bound for the wait for a claim decision, whatever the request's deadline.
+const CLAIM_TIMEOUT_MS: u64 = 2_000;
 
-/// A claim that was granted to a request.
+/// A claim that was granted to a request, or is being requested for it.
 #[derive(Debug, Clone)]
 pub(super) struct GrantedClaim {
     pub(super) key: ClaimKey,
     pub(super) attempt: ClaimAttempt,
 }
 
-/// The claim key of a class that may not be repeated.
+/// Reads the claim key of a request whose class is not repeatable; `None` for other classes.
 pub(super) fn read_claim_key(head: &RequestHead) -> Result<Option<ClaimKey>, CallerRefusal> {
     let class = with_worker(|worker| {
         let topology = worker.steering.topology()?;
@@ -46,18 +46,21 @@
     Ok(Some(key))
 }
 
-/// Claims the key before anything is sent. The request holds the claim from the start, so that it
-/// is given back if the caller goes away before the decision.
-pub(super) async fn claim(held: &mut HeldRequest, key: ClaimKey) -> Result<(), CallerRefusal> {
+/// Claims the key. The claim is recorded in the request before the decision arrives, so that it is
+/// released if the caller disconnects in the meantime.
+pub(super) async fn claim(
+    admitted: &mut AdmittedRequest,
+    key: ClaimKey,
+) -> Result<(), CallerRefusal> {
     let setup = with_worker(|worker| {
-        let deadline = held
+        let deadline = admitted
             .admission
             .deadline
-            .min(worker.now().plus(CLAIM_LIMIT_MS));
+            .min(worker.now().plus(CLAIM_TIMEOUT_MS));
         (worker.control.clone(), worker.next_attempt(), deadline)
     });
     let (control, attempt, deadline) = setup.ok_or_else(answer::internal_refusal)?;
-    held.claim = Some(GrantedClaim {
+    admitted.claim = Some(GrantedClaim {
         key,
         attempt: attempt.clone(),
     });
@@ -74,13 +77,13 @@
     let Some(ControlAnswer::Claim(decision)) = answer else {
         return Err(CallerRefusal::with_code(
             ResultCode::WorkRejected,
-            Some(COME_BACK_LONG_MS),
+            Some(UNAVAILABLE_RETRY_AFTER_MS),
         ));
     };
     if decision == ClaimDecision::Granted {
         return Ok(());
     }
-    held.claim = None;
+    admitted.claim = None;
     Err(claim_refusal(decision))
 }
 
@@ -95,7 +98,7 @@
             CallerRefusal::with_code(ResultCode::ClaimsUnavailable, Some(retry_ms))
         }
         ClaimDecision::Pending | ClaimDecision::Granted => {
-            CallerRefusal::with_code(ResultCode::ClaimPending, Some(COME_BACK_LONG_MS))
+            CallerRefusal::with_code(ResultCode::ClaimPending, Some(UNAVAILABLE_RETRY_AFTER_MS))
         }
     }
 }
--- a/src/worker/route.rs
+++ b/src/worker/route.rs
@@ -14,9 +14,9 @@
 use super::with_worker;
 use crate::lookup::LookupFault;
 use crate::result_code::ResultCode;
-use crate::steering::COME_BACK_LONG_MS;
+use crate::steering::UNAVAILABLE_RETRY_AFTER_MS;
 
-/// The header by which a trusted forwarder names the caller.
+/// Header in which a trusted forwarder reports the caller's address.
 const CALLER_HEADER: &str = "x-ledgespool-caller";
 
 pub(super) fn build_router() -> Router {
@@ -35,18 +35,18 @@
     })
 }
 
-/// The caller's address: the peer's, or the one that a trusted forwarder names.
+/// The caller's address: the peer's, or the one that a trusted forwarder reports.
 pub(super) fn caller_address(state: &State, trusted: &[net::IpAddr]) -> Option<net::IpAddr> {
     let peer = gotham::state::client_addr(state)?.ip();
     if !trusted.contains(&peer) {
         return Some(peer);
     }
     let headers = http::HeaderMap::borrow_from(state);
-    let named = headers
+    let reported = headers
         .get(CALLER_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
-    Some(named.unwrap_or(peer))
+    Some(reported.unwrap_or(peer))
 }
 
 fn query_value<'u>(uri: &'u http::Uri, name: &str) -> Option<&'u str> {
@@ -59,7 +59,7 @@
 
 fn lookup(state: State) -> (State, http::Response<Body>) {
     let response = match find_answer(&state) {
-        Ok(bytes) => lookup_response(bytes),
+        Ok(bytes) => json_response(bytes),
         Err(refusal) => answer::refusal_response(&refusal),
     };
     (state, response)
@@ -78,7 +78,7 @@
                     LookupFault::ServiceUnknown if worker.generation == 0 => {
                         CallerRefusal::with_code(
                             ResultCode::ConfigurationMissing,
-                            Some(COME_BACK_LONG_MS),
+                            Some(UNAVAILABLE_RETRY_AFTER_MS),
                         )
                     }
                     LookupFault::ServiceUnknown => {
@@ -86,7 +86,7 @@
                     }
                     LookupFault::NoHost => CallerRefusal::with_code(
                         ResultCode::EntryUnavailable,
-                        Some(COME_BACK_LONG_MS),
+                        Some(UNAVAILABLE_RETRY_AFTER_MS),
                     ),
                 }),
         )
@@ -96,7 +96,7 @@
         .unwrap_or_else(|| Err(answer::internal_refusal()))
 }
 
-fn lookup_response(bytes: Bytes) -> http::Response<Body> {
+fn json_response(bytes: Bytes) -> http::Response<Body> {
     let body = Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync();
@@ -113,19 +113,22 @@
     response
 }
 
-/// 200 while the host takes callers, otherwise the reason why not.
+/// Responds with 200 while the host accepts callers, otherwise with the reason why it does not.
 fn health(state: State) -> (State, http::Response<Body>) {
     let refusal = with_worker(|worker| {
         if worker.leaving_since.is_some() {
             return Some(CallerRefusal::with_code(ResultCode::HostLeaving, None));
         }
         (worker.generation == 0).then(|| {
-            CallerRefusal::with_code(ResultCode::ConfigurationMissing, Some(COME_BACK_LONG_MS))
+            CallerRefusal::with_code(
+                ResultCode::ConfigurationMissing,
+                Some(UNAVAILABLE_RETRY_AFTER_MS),
+            )
         })
     });
     let response = match refusal.flatten() {
         Some(refusal) => answer::refusal_response(&refusal),
-        None => lookup_response(Bytes::from_static(b"{\"status\":\"ready\"}")),
+        None => json_response(Bytes::from_static(b"{\"status\":\"ready\"}")),
     };
     (state, response)
 }
