--- a/src/budget.rs
+++ b/src/budget.rs
@@ -1,15 +1,18 @@
-//! The budget of one place, split into grants: the sum in use never exceeds what it carries.
+//! The concurrency budget of one place, divided into grants for the entry hosts.
 //!
-//! Growth is two-step. A giver's lower grant must be acknowledged before its units count as free,
-//! and a taker's higher grant is taken from free units only. `held` is the upper bound of what a
-//! host may still use; the rules keep the sum of `held` within the limit, whatever is lost, late
-//! or frozen on the way.
+//! A place is a service in a hall, or a service's traffic from one region to another. A unit
+//! allows one request at a time. The units in use never exceed the limit of the place.
+//!
+//! Units move between hosts in two steps. When a host's grant is lowered, its units become free
+//! only after the host has acknowledged the lower grant. A grant is raised from free units only.
+//! `held` is the upper bound of the units that a host may still use. These rules keep the sum of
+//! `held` within the limit even if messages are lost or delayed, or hosts are frozen.
 
 use std::fmt;
 
 use crate::member;
 
-/// What a budget is for.
+/// The place that a budget applies to.
 #[derive(
     Debug,
     Clone,
@@ -24,20 +27,20 @@
 )]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum PlaceKey {
-    /// Requests of a service running in a hall.
+    /// Requests of a service that run in a hall.
     Hall {
         /// The service.
         service: String,
         /// The hall.
         hall: String,
     },
-    /// Requests of a service that were moved from one region's callers or hosts to another region.
+    /// Requests that callers or hosts of one region send to a service in another region.
     Route {
         /// The service.
         service: String,
-        /// The region they come from.
+        /// The region that they come from.
         from: String,
-        /// The region they run in.
+        /// The region that they run in.
         to: String,
     },
 }
@@ -52,7 +55,7 @@
         }
     }
 
-    /// A key for moved work.
+    /// A key for a service's requests that were moved between two regions.
     #[must_use]
     pub fn with_route(service: &str, from: &str, to: &str) -> Self {
         Self::Route {
@@ -72,19 +75,19 @@
     }
 }
 
-/// One host's share of a place.
+/// One host's grant for a place.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct GrantEntry {
-    /// The host and the run of its process.
+    /// The host and the incarnation of its process.
     pub host: member::HostIdentity,
-    /// Units that it may use once it has read the plan.
+    /// Units that it may use once it has installed the plan.
     pub grant: u32,
     /// Units that it may still be using; never below `grant`.
     pub held: u32,
-    /// The plan sequence that lowered `grant` last.
+    /// The sequence of the plan that lowered `grant` last.
     pub lowered_at: u64,
 }
 
@@ -96,14 +99,14 @@
 pub struct PlaceBudget {
     /// The place.
     pub key: PlaceKey,
-    /// Units that the place carries at once.
+    /// Maximum number of units in use at once.
     pub limit: u32,
-    /// Shares, one for each host that has or had any.
+    /// Grants, one for each host that has or may still use any units.
     pub entries: Vec<GrantEntry>,
 }
 
-/// A sum that stays at the largest number: an object from outside may hold any.
-pub(crate) fn total(units: impl Iterator<Item = u32>) -> u32 {
+/// A saturating sum, because an object read from the platform may contain any numbers.
+pub(crate) fn saturating_sum(units: impl Iterator<Item = u32>) -> u32 {
     units.fold(0, u32::saturating_add)
 }
 
@@ -111,7 +114,7 @@
     /// Units granted to hosts.
     #[must_use]
     pub fn granted_units(&self) -> u32 {
-        total(self.entries.iter().map(|entry| entry.grant))
+        saturating_sum(self.entries.iter().map(|entry| entry.grant))
     }
 
     /// An empty budget.
@@ -130,10 +133,10 @@
         }
     }
 
-    /// Units that hosts may be using.
+    /// Units that hosts may still be using.
     #[must_use]
     pub fn held_units(&self) -> u32 {
-        total(self.entries.iter().map(|entry| entry.held))
+        saturating_sum(self.entries.iter().map(|entry| entry.held))
     }
 
     /// Units that may be granted now.
@@ -142,7 +145,7 @@
         self.limit.saturating_sub(self.held_units())
     }
 
-    /// A host's present grant; 0 without one.
+    /// A host's current grant; 0 without one.
     #[must_use]
     pub fn grant_of(&self, host: &member::HostIdentity) -> u32 {
         self.entries
@@ -151,14 +154,15 @@
             .map_or(0, |entry| entry.grant)
     }
 
-    /// Units granted to the hosts before this one, in the order of their names.
+    /// Units granted to the hosts that precede this one in the order of identities.
     #[must_use]
     pub fn offset_of(&self, host: &member::HostIdentity) -> u32 {
         let before = self.entries.iter().filter(|entry| entry.host < *host);
-        total(before.map(|entry| entry.grant))
+        saturating_sum(before.map(|entry| entry.grant))
     }
 
-    /// Lowers a host's grant as of plan `sequence`; its held units stay until it acknowledges.
+    /// Lowers a host's grant as of plan `sequence`. Its held units stay until it acknowledges the
+    /// plan.
     pub fn lower(&mut self, host: &member::HostIdentity, units: u32, sequence: u64) {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.host == *host)
             && units < entry.grant
@@ -170,12 +174,13 @@
 
     /// Raises a host's grant towards `units` as far as free units allow; returns the new grant.
     ///
-    /// Units that the host still holds from before are its own already and need no free ones.
+    /// Units that the host still holds from an earlier grant can be granted again without using
+    /// free units.
     pub fn raise(&mut self, host: &member::HostIdentity, units: u32) -> u32 {
         let free = self.free_units();
-        let over = self.held_units() > self.limit;
-        let position = self.entries.iter().position(|entry| entry.host == *host);
-        let Some(entry) = position.and_then(|position| self.entries.get_mut(position)) else {
+        let exceeds_limit = self.held_units() > self.limit;
+        let index = self.entries.iter().position(|entry| entry.host == *host);
+        let Some(entry) = index.and_then(|index| self.entries.get_mut(index)) else {
             let grant = units.min(free);
             if grant > 0 {
                 let host = host.clone();
@@ -188,7 +193,7 @@
             }
             return grant;
         };
-        if over || units <= entry.grant {
+        if exceeds_limit || units <= entry.grant {
             return entry.grant;
         }
         entry.grant = units.min(entry.held.saturating_add(free));
@@ -196,7 +201,7 @@
         entry.grant
     }
 
-    /// Takes a host's word that it has plan `installed` in force and uses `in_use` units.
+    /// Processes a host's report that plan `installed` is active and `in_use` units are in use.
     pub fn acknowledge(&mut self, host: &member::HostIdentity, installed: u64, in_use: u32) {
         let Some(entry) = self.entries.iter_mut().find(|entry| entry.host == *host) else {
             return;
@@ -207,7 +212,7 @@
         self.entries.retain(|entry| entry.held > 0);
     }
 
-    /// Frees everything of a host that provably can't use it any more.
+    /// Frees all units of a host that provably cannot use them any more.
     pub fn release(&mut self, host: &member::HostIdentity) {
         self.entries.retain(|entry| entry.host != *host);
     }
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,4 +1,6 @@
-//! Claims: a key may be used for one run only, and its outcome is remembered for a window.
+//! Claims: idempotency keys that let a request run at most once.
+//!
+//! The owning attempt and its outcome are remembered for the service's claim window.
 
 use std::collections;
 
@@ -8,24 +10,24 @@
 use crate::plan;
 use crate::result_code::ResultCode;
 
-/// How far a key's time may lie ahead of this host's wall clock.
-pub const MAX_AHEAD_MS: u64 = 60_000;
-/// Records are kept this much longer than the window, against clocks that differ.
-pub const KEEP_MARGIN_MS: u64 = 120_000;
+/// Maximum time by which a key may be ahead of this host's wall clock.
+pub const MAX_CLOCK_SKEW_MS: u64 = 60_000;
+/// Time that records are retained beyond the claim window, to tolerate clock skew between hosts.
+pub const RETENTION_MARGIN_MS: u64 = 120_000;
 const TOKEN_LENGTH: std::ops::RangeInclusive<usize> = 8..=64;
 
-/// A caller's claim key: `UNIXMILLIS-TOKEN`. The time in it lets a key past the window be
-/// refused without having to be remembered.
+/// A caller's claim key: `UNIXMILLIS-TOKEN`. The timestamp allows an expired key to be refused
+/// without a record of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClaimKey {
     /// A 128-bit hash of service and key.
     pub digest: u128,
-    /// When the caller made it, in Unix milliseconds.
+    /// When the caller created it, in Unix milliseconds.
     pub made_at: u64,
 }
 
 impl ClaimKey {
-    /// Reads a key sent for `service`.
+    /// Parses a key that a caller sent for `service`.
     ///
     /// # Errors
     /// `ClaimKeyInvalid` when it is malformed.
@@ -36,7 +38,12 @@
     /// assert_eq!(key.made_at, 1_700_000_000_000);
     /// ```
     pub fn from_text(service: &str, text: &str) -> error::Result<Self> {
-        let invalid = || Error::with_code(ResultCode::ClaimKeyInvalid, "not UNIXMILLIS-TOKEN");
+        let invalid = || {
+            Error::with_code(
+                ResultCode::ClaimKeyInvalid,
+                "expected the form UNIXMILLIS-TOKEN",
+            )
+        };
         let (made_at, token) = text.split_once('-').ok_or_else(invalid)?;
         let valid = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
         if !TOKEN_LENGTH.contains(&token.len()) || !token.bytes().all(valid) {
@@ -47,21 +54,22 @@
         Ok(Self { digest, made_at })
     }
 
-    /// Checks the key's time against the wall clock and the service's window.
+    /// Checks the key's timestamp against the wall clock and the service's claim window.
     ///
     /// # Errors
-    /// `ClaimKeyExpired` past the window, `ClaimKeyInvalid` when it lies in the future.
+    /// `ClaimKeyExpired` when it is older than the window, `ClaimKeyInvalid` when it is more than
+    /// [`MAX_CLOCK_SKEW_MS`] in the future.
     pub fn check_time(&self, now_unix_ms: u64, window_ms: u64) -> error::Result<()> {
-        if self.made_at > now_unix_ms.saturating_add(MAX_AHEAD_MS) {
+        if self.made_at > now_unix_ms.saturating_add(MAX_CLOCK_SKEW_MS) {
             return Err(Error::with_code(
                 ResultCode::ClaimKeyInvalid,
-                "the key's time lies ahead",
+                "the key's timestamp is in the future",
             ));
         }
         if now_unix_ms.saturating_sub(self.made_at) > window_ms {
             return Err(Error::with_code(
                 ResultCode::ClaimKeyExpired,
-                "the key is past the claim window",
+                "the key is older than the claim window",
             ));
         }
         Ok(())
@@ -75,7 +83,7 @@
     }
 }
 
-/// One attempt to run a claimed request: unique over hosts and runs.
+/// One attempt to run a claimed request, unique across hosts and their incarnations.
 #[derive(
     Debug, Clone, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -83,18 +91,18 @@
 pub struct ClaimAttempt {
     /// The entry host's name.
     pub host: String,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// Counts within the run.
+    /// Sequence number within the incarnation.
     pub number: u64,
 }
 
-/// What became of a claim.
+/// The result of claiming a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The attempt owns the key: it may be sent, once.
+    /// The attempt owns the key and may be sent once.
     Granted,
-    /// An earlier attempt ran and was answered with this HTTP status.
+    /// An earlier attempt ran; its response had this HTTP status.
     Repeated(u16),
     /// An earlier attempt owns the key; its outcome is not recorded.
     Pending,
@@ -121,7 +129,7 @@
 }
 
 impl ClaimShard {
-    /// Reads a shard's object.
+    /// Parses a shard's object.
     ///
     /// # Errors
     /// `ObjectInvalid` when it does not parse.
@@ -140,10 +148,10 @@
         Ok(shard)
     }
 
-    /// Writes a shard's object.
+    /// Serializes a shard's object.
     ///
     /// # Errors
-    /// `ObjectTooLarge` past one megabyte.
+    /// `ObjectTooLarge` when it exceeds [`plan::MAX_OBJECT_BYTES`].
     pub fn to_bytes(&self) -> error::Result<Vec<u8>> {
         let list: Vec<&ClaimRecord> = self.records.values().collect();
         let bytes = serde_json::to_vec(&list).map_err(|fault| {
@@ -158,20 +166,20 @@
         Ok(bytes)
     }
 
-    /// How many keys it remembers.
+    /// Number of recorded keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether it remembers none.
+    /// Whether no key is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What an attempt is told. A key without a record is never granted: its record may have been
-    /// pruned, and only a record keeps others from running it.
+    /// The verdict for an attempt. A key without a record is never granted: the record may have
+    /// been pruned, and without one nothing prevents another attempt from running it too.
     #[must_use]
     pub fn verdict(&self, key: &ClaimKey, attempt: &ClaimAttempt) -> ClaimVerdict {
         match self.records.get(&key.digest) {
@@ -184,7 +192,7 @@
         }
     }
 
-    /// Claims a key for an attempt. The same attempt may ask again and gets the same verdict.
+    /// Claims a key for an attempt. Idempotent: the same attempt gets the same verdict again.
     pub fn claim(&mut self, key: &ClaimKey, attempt: &ClaimAttempt) -> ClaimVerdict {
         if self.records.contains_key(&key.digest) {
             return self.verdict(key, attempt);
@@ -199,7 +207,7 @@
         ClaimVerdict::Granted
     }
 
-    /// Records how the owning attempt was answered; others change nothing.
+    /// Records the response status of the owning attempt. Other attempts are ignored.
     pub fn settle(&mut self, digest: u128, attempt: &ClaimAttempt, status: u16) {
         if let Some(record) = self.records.get_mut(&digest)
             && record.attempt == *attempt
@@ -208,7 +216,7 @@
         }
     }
 
-    /// Gives a key back that its owning attempt provably did not run.
+    /// Removes the record of a key whose owning attempt provably did not run.
     pub fn release(&mut self, digest: u128, attempt: &ClaimAttempt) {
         let owned = self
             .records
@@ -219,11 +227,11 @@
         }
     }
 
-    /// Forgets keys that every host refuses as expired by now.
+    /// Removes keys that every host now refuses as expired.
     pub fn prune(&mut self, now_unix_ms: u64, window_ms: u64) {
-        let keep_ms = window_ms.saturating_add(KEEP_MARGIN_MS);
+        let retention_ms = window_ms.saturating_add(RETENTION_MARGIN_MS);
         self.records
-            .retain(|_, record| now_unix_ms.saturating_sub(record.made_at) <= keep_ms);
+            .retain(|_, record| now_unix_ms.saturating_sub(record.made_at) <= retention_ms);
     }
 
     /// The attempt that owns a key without a recorded outcome.
--- a/src/config_object.rs
+++ b/src/config_object.rs
@@ -1,4 +1,4 @@
-//! The configuration object: a declaration with its generation and the operations that made it.
+//! The configuration object: a declaration, its generation and the operations applied last.
 
 use std::sync;
 
@@ -8,9 +8,9 @@
 use crate::result_code::ResultCode;
 use crate::source;
 
-/// Operations that the object remembers, so that a repeated one is recognized.
+/// Number of operations that the object remembers, to recognize a retried one.
 const MAX_OPERATIONS: usize = 16;
-/// The longest operation id.
+/// Maximum length of an operation id in bytes.
 const MAX_OPERATION_LENGTH: usize = 64;
 
 /// An operation that took effect.
@@ -19,45 +19,46 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct AppliedOperation {
-    /// The id that its caller gave it.
+    /// The id that its caller chose.
     pub id: String,
-    /// The generation that it made.
+    /// The generation that it created.
     pub generation: u64,
 }
 
-/// The configuration as stored and passed between hosts.
+/// The configuration as it is stored on the platform and exchanged between hosts.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigObject {
-    /// Grows by one with each accepted change.
+    /// Incremented by one with each accepted change.
     pub generation: u64,
-    /// The last operations, newest last.
+    /// The most recent operations, newest last.
     pub operations: Vec<AppliedOperation>,
-    /// The declaration in force.
+    /// The active declaration.
     pub declaration: sync::Arc<declaration::SteeringDeclaration>,
 }
 
-/// What an operator wants changed.
+/// A configuration change that an operator requests.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigChange {
-    /// Put a whole declaration in place; drains and shifts in force stay unless it names its own.
+    /// Replace the whole declaration. Active drains and shifts stay unless the new declaration
+    /// names its own.
     Replace(Box<declaration::SteeringDeclaration>),
     /// Start a drain.
     Drain(declaration::DrainEntry),
-    /// Lift a drain.
+    /// End a drain.
     Undrain(declaration::DrainEntry),
-    /// Start a shift, or change the share of one.
+    /// Start a shift, or change the share of an active one.
     Shift(declaration::ShiftEntry),
-    /// End a shift; `share` does not matter.
+    /// End a shift; `share` is ignored.
     Unshift(declaration::ShiftEntry),
 }
 
 impl ConfigObject {
-    /// Reads and checks an object from the platform or a peer.
+    /// Parses and validates an object received from the platform or a peer.
     ///
     /// # Errors
-    /// `ObjectInvalid` when it does not parse, `Rejected` when its declaration is faulty.
+    /// `ObjectInvalid` when it does not parse, `Rejected` when its declaration is invalid.
     pub fn from_bytes(bytes: &[u8]) -> error::Result<Self> {
         let object: Self = serde_json::from_slice(bytes).map_err(|fault| {
             Error::with_code(ResultCode::ObjectInvalid, format!("configuration: {fault}"))
@@ -66,10 +67,10 @@
         Ok(object)
     }
 
-    /// Writes the object.
+    /// Serializes the object.
     ///
     /// # Errors
-    /// `ObjectTooLarge` past one megabyte.
+    /// `ObjectTooLarge` when it exceeds [`plan::MAX_OBJECT_BYTES`].
     pub fn to_bytes(&self) -> error::Result<Vec<u8>> {
         let bytes = serde_json::to_vec(self).map_err(|fault| {
             Error::with_code(ResultCode::ObjectInvalid, format!("configuration: {fault}"))
@@ -81,7 +82,7 @@
         Ok(bytes)
     }
 
-    /// The generation that an operation made, if it took effect.
+    /// The generation that an operation created, if it took effect and is still remembered.
     #[must_use]
     pub fn generation_of(&self, operation: &str) -> Option<u64> {
         self.operations
@@ -90,10 +91,11 @@
             .map(|applied| applied.generation)
     }
 
-    /// The next generation, after a change.
+    /// The next generation: `before` with the change applied.
     ///
     /// # Errors
-    /// `TargetUnknown`, or `Rejected` when the result would not be a valid declaration.
+    /// `TargetUnknown` when the drain or shift to end does not exist, `Rejected` when the result
+    /// would not be a valid declaration.
     pub fn with_change(
         before: Option<&Self>,
         change: &ConfigChange,
@@ -101,7 +103,7 @@
     ) -> error::Result<Self> {
         let empty = declaration::SteeringDeclaration::default();
         let old = before.map_or(&empty, |object| object.declaration.as_ref());
-        let declaration = changed_declaration(old, change)?;
+        let declaration = apply_change(old, change)?;
         check(&declaration)?;
         let before_generation = before.map_or(0, |object| object.generation);
         let generation = before_generation.saturating_add(1);
@@ -120,7 +122,7 @@
     }
 }
 
-/// Whether an operation id can be stored.
+/// Whether an operation id has a valid length and only letters, digits and hyphens.
 #[must_use]
 pub fn is_valid_operation(operation: &str) -> bool {
     let valid = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
@@ -133,13 +135,13 @@
     problems.into_result(&[])
 }
 
-fn changed_declaration(
+fn apply_change(
     old: &declaration::SteeringDeclaration,
     change: &ConfigChange,
 ) -> error::Result<declaration::SteeringDeclaration> {
     let mut new = old.clone();
     match change {
-        ConfigChange::Replace(whole) => return Ok(replaced(old, whole)),
+        ConfigChange::Replace(replacement) => return Ok(replace_declaration(old, replacement)),
         ConfigChange::Drain(drain) => {
             if !new.is_draining(drain.kind, &drain.name) {
                 new.drains.push(drain.clone());
@@ -149,7 +151,7 @@
             if !new.is_draining(drain.kind, &drain.name) {
                 return Err(Error::with_code(
                     ResultCode::TargetUnknown,
-                    format!("no drain of {}", drain.name),
+                    format!("no active drain of `{}`", drain.name),
                 ));
             }
             new.drains
@@ -163,7 +165,7 @@
             if !new.shifts.iter().any(|entry| is_same_route(entry, shift)) {
                 return Err(Error::with_code(
                     ResultCode::TargetUnknown,
-                    "no such shift".to_owned(),
+                    "no active shift for this service and pair of regions".to_owned(),
                 ));
             }
             new.shifts.retain(|entry| !is_same_route(entry, shift));
@@ -172,31 +174,31 @@
     Ok(new)
 }
 
-/// Drains and shifts are orders of the day: files under version control seldom name them, so a
-/// replacement keeps those in force, as far as what they name is still there.
-fn replaced(
+/// A new declaration that keeps the active drains and shifts whose targets it still declares.
+/// Drains and shifts are temporary, and files under version control rarely contain them.
+fn replace_declaration(
     old: &declaration::SteeringDeclaration,
-    whole: &declaration::SteeringDeclaration,
+    replacement: &declaration::SteeringDeclaration,
 ) -> declaration::SteeringDeclaration {
-    let mut new = whole.clone();
+    let mut new = replacement.clone();
     for drain in &old.drains {
-        let known = match drain.kind {
+        let is_declared = match drain.kind {
             declaration::DrainKind::Server => {
                 new.servers.iter().any(|server| server.name == drain.name)
             }
             declaration::DrainKind::Hall => new.hall(&drain.name).is_some(),
             declaration::DrainKind::Host => true,
         };
-        if known && !new.is_draining(drain.kind, &drain.name) {
+        if is_declared && !new.is_draining(drain.kind, &drain.name) {
             new.drains.push(drain.clone());
         }
     }
     for shift in &old.shifts {
-        let region_known = |name: &str| new.regions.iter().any(|region| region.name == name);
-        let known = new.service(&shift.service).is_some()
-            && region_known(&shift.from)
-            && region_known(&shift.to);
-        if known && !new.shifts.iter().any(|entry| is_same_route(entry, shift)) {
+        let is_region_declared = |name: &str| new.regions.iter().any(|region| region.name == name);
+        let is_declared = new.service(&shift.service).is_some()
+            && is_region_declared(&shift.from)
+            && is_region_declared(&shift.to);
+        if is_declared && !new.shifts.iter().any(|entry| is_same_route(entry, shift)) {
             new.shifts.push(shift.clone());
         }
     }
--- a/src/control_message.rs
+++ b/src/control_message.rs
@@ -1,5 +1,5 @@
-//! What goes in and out of the controller: every message between it, the workers, the peers, the
-//! platform and the operators.
+//! The inputs and outputs of the controller: the messages that it exchanges with the workers, the
+//! peers, the platform and the operators.
 
 use std::sync;
 
@@ -16,7 +16,7 @@
 use crate::report::{HostReport, PlaceUsage};
 use crate::topology::SteeringTopology;
 
-/// A backend server that is known to leave.
+/// A backend server that has announced its shutdown.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -24,11 +24,11 @@
 pub struct LeavingServer {
     /// Its name.
     pub name: String,
-    /// How long ago it said so, in milliseconds.
+    /// Time since its announcement in milliseconds.
     pub age_ms: u64,
 }
 
-/// A heartbeat, and its answer.
+/// A heartbeat or the response to one.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -36,21 +36,21 @@
 pub struct PeerHeartbeat {
     /// The sender's own record.
     pub from: MemberRecord,
-    /// Records that changed lately.
+    /// Records that changed recently.
     pub rumors: Vec<MemberRecord>,
-    /// Whether all records are asked for.
+    /// Whether to exchange all records.
     pub full: bool,
-    /// The generation in force at the sender; 0 without one.
+    /// The sender's active generation; 0 without one.
     pub generation: u64,
     /// The newest plan sequence that the sender knows.
     pub plan_sequence: u64,
-    /// Who wrote it.
+    /// The planner that wrote it.
     pub plan_holder: Option<HostIdentity>,
-    /// Backend servers that leave.
+    /// Backend servers that are leaving.
     pub leaving_servers: Vec<LeavingServer>,
 }
 
-/// A claim that a host passes to the owner of its shard.
+/// A claim that a host forwards to the owner of its shard.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -58,15 +58,15 @@
 pub struct PeerClaim {
     /// The key's digest, in hexadecimal.
     pub digest: String,
-    /// The key's time.
+    /// The key's timestamp in Unix milliseconds.
     pub made_at: u64,
-    /// Who wants to run it.
+    /// The attempt that wants to run it.
     pub attempt: ClaimAttempt,
-    /// Time that the owner has, in milliseconds.
+    /// Time left until the claim's deadline, in milliseconds.
     pub time_left_ms: u64,
 }
 
-/// The outcome of a claimed request, on its way to the shard's owner.
+/// The outcome of a claimed request, sent to the owner of its shard.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -76,23 +76,24 @@
     pub digest: String,
     /// The owning attempt.
     pub attempt: ClaimAttempt,
-    /// The answer's HTTP status; `None` gives the key back, as it provably did not run.
+    /// The HTTP status of the response; `None` releases the key because the attempt provably did
+    /// not run.
     pub status: Option<u16>,
 }
 
-/// How a claim ended, as told to a worker or a peer.
+/// The decision on a claim, as sent to a worker or a peer.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimDecision {
-    /// Send it, once.
+    /// The request may be sent once.
     Granted,
-    /// It ran before, with this HTTP status.
+    /// The request already ran; its response had this HTTP status.
     Repeated(u16),
-    /// It may have run before.
+    /// The request may already have run.
     Pending,
-    /// Nothing could be recorded; come back after so many milliseconds.
+    /// Nothing could be recorded; retry after this many milliseconds.
     Unavailable(u64),
 }
 
@@ -106,24 +107,24 @@
     }
 }
 
-/// What a worker reports.
+/// A worker's usage report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerUsage {
-    /// Which worker.
+    /// The index of the worker.
     pub worker: usize,
-    /// The generation that it has in force.
+    /// The generation that is active on it.
     pub generation: u64,
-    /// The plan sequence that it has in force.
+    /// The plan sequence that is active on it.
     pub sequence: u64,
     /// Its use of places.
     pub usage: Vec<PlaceUsage>,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Those of them at backend servers that get no new work.
+    /// Requests in flight at backend servers that get no new work.
     pub draining: u32,
 }
 
-/// Why a platform call was made; its reply finds its way by this.
+/// The purpose of a platform call, by which its reply is dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPurpose {
     /// The configuration role.
@@ -138,98 +139,98 @@
     Hosts,
 }
 
-/// What reaches the controller.
+/// An input of the controller.
 #[derive(Debug, Clone)]
 pub enum ControlInput {
-    /// Time passed.
+    /// A timer tick.
     Tick,
-    /// A platform call ended.
+    /// The reply to a platform call.
     Platform(CallPurpose, PlatformReply),
-    /// A peer's heartbeat; answer it.
+    /// A peer's heartbeat; requires an answer.
     Heartbeat(u64, PeerHeartbeat),
-    /// A heartbeat that was sent got an answer, or none.
+    /// The response to a heartbeat; `None` if there was none.
     HeartbeatDone(HeartbeatTarget, Option<PeerHeartbeat>),
-    /// A host reports to this planner; answer it.
+    /// A host's report to this planner; requires an answer.
     Report(u64, HostReport),
-    /// The planner answered the report; `None` when it did not or is none.
+    /// The planner's response to a report; `None` if it did not respond or is not the planner.
     ReportDone(Option<HostGrants>),
-    /// A peer wants the configuration; answer it.
+    /// A peer's request for the configuration; requires an answer.
     Fetch(u64),
-    /// A peer sent its configuration, or nothing usable.
+    /// A peer's configuration; `None` if the fetch failed.
     Fetched(Option<ConfigObject>),
-    /// An operator's change; answer it.
+    /// An operator's change; requires an answer.
     Change(ChangeRequest),
-    /// A worker's claim; answer it.
+    /// A worker's claim; requires an answer.
     Claim(ClaimRequest),
-    /// A peer's claim; answer it.
+    /// A peer's claim; requires an answer.
     PeerClaim(u64, PeerClaim),
-    /// The shard's owner decided, or did not answer.
+    /// The decision of the shard's owner; `None` if it did not respond.
     PeerClaimDone(u64, Option<ClaimDecision>),
     /// The outcome of a claimed request, from a worker.
     Settle(ClaimKey, ClaimAttempt, Option<u16>),
-    /// The same, from a peer; this host owns the shard.
+    /// The outcome of a claimed request, from a peer; this host owns the shard.
     PeerSettle(PeerSettle),
-    /// A worker reports.
+    /// A worker's usage report.
     Usage(WorkerUsage),
-    /// A worker heard from a backend server that it leaves.
+    /// A backend server announced its shutdown to a worker.
     ServerLeaving(String),
-    /// Someone asks for the state; answer it.
+    /// A request for the host's status; requires an answer.
     Status(u64),
-    /// The process was asked to stop.
+    /// A request to stop the process.
     Stop,
 }
 
-/// An answer to whoever waits under a ticket.
+/// An answer for the call that waits under a ticket.
 #[derive(Debug, Clone)]
 pub enum ControlAnswer {
-    /// To a heartbeat.
+    /// The answer to a heartbeat.
     Heartbeat(PeerHeartbeat),
-    /// To a report: grants, or `None` from a host that does not plan.
+    /// The answer to a report: the host's grants, or `None` if this host is not the planner.
     Grants(Option<HostGrants>),
-    /// To a fetch.
+    /// The answer to a fetch.
     Config(Option<ConfigObject>),
-    /// To a change.
+    /// The answer to a change.
     Change(ChangeAnswer),
-    /// To a claim.
+    /// The answer to a claim.
     Claim(ClaimDecision),
-    /// To a status call.
+    /// The answer to a status request.
     Status(Box<HostStatus>),
 }
 
-/// What the controller wants done.
+/// An action that the controller requests from the control thread.
 #[derive(Debug)]
 pub enum ControlAction {
     /// Call the platform.
     Platform(CallPurpose, PlatformCall),
     /// Send a heartbeat.
     SendHeartbeat(HeartbeatTarget, PeerHeartbeat),
-    /// Report to the planner.
+    /// Send a report to the planner.
     SendReport(std::net::SocketAddr, HostReport),
-    /// Ask a peer for its configuration.
+    /// Request a peer's configuration.
     SendFetch(std::net::SocketAddr),
-    /// Pass a claim to its shard's owner.
+    /// Forward a claim to its shard's owner.
     SendClaim(u64, std::net::SocketAddr, PeerClaim),
-    /// Pass an outcome to its shard's owner.
+    /// Forward an outcome to its shard's owner.
     SendSettle(std::net::SocketAddr, PeerSettle),
-    /// Give the workers a topology.
+    /// Install a topology on the workers.
     InstallTopology(sync::Arc<SteeringTopology>),
-    /// Give the workers look-up answers.
+    /// Install a lookup table on the workers.
     InstallLookup(sync::Arc<LookupTable>),
-    /// Give the workers the host's grants.
+    /// Install the host's grants on the workers.
     InstallGrants(HostGrants),
-    /// Tell the workers whether this host leaves.
+    /// Notify the workers whether this host is leaving.
     SetLeaving(bool),
-    /// Tell the workers which backend servers leave.
+    /// Notify the workers which backend servers are leaving.
     SetLeavingServers(sync::Arc<Vec<String>>),
-    /// Answer whoever waits.
+    /// Answer the call that waits under a ticket.
     Answer(u64, ControlAnswer),
     /// Log an event.
     Event(EventCode, String),
-    /// Nothing is left to finish: stop the process.
+    /// Stop the process; all work is finished.
     Finished,
 }
 
-/// A place's headroom on one host.
+/// A place's grant and use on one host.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -251,28 +252,28 @@
     pub host: MemberRecord,
     /// The generation installed.
     pub generation: u64,
-    /// The generation that all its workers have in force.
+    /// The generation that is active on all its workers.
     pub in_force: u64,
-    /// The plan sequence that all its workers have in force.
+    /// The plan sequence that is active on all its workers.
     pub plan_sequence: u64,
-    /// The planner, as far as it knows.
+    /// The planner, if known to the host.
     pub planner: Option<HostIdentity>,
     /// Whether its last call to the platform was answered.
     pub platform_ok: bool,
-    /// Whether it hears nobody.
+    /// Whether it has lost contact with all peers.
     pub cut_off: bool,
-    /// Client blocks in its map.
+    /// Number of client blocks in its map.
     pub blocks: u64,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Requests still running on what is drained.
+    /// Requests still in flight on drained servers.
     pub draining: u32,
-    /// How long the last drain took on this host, in milliseconds.
+    /// Duration of the last drain on this host in milliseconds.
     pub last_drain_ms: Option<u64>,
-    /// Backend servers that get no new work because they leave.
+    /// Backend servers that get no new work because they are leaving.
     pub leaving_servers: Vec<String>,
-    /// Grants and use by place.
+    /// Grants and use of each place.
     pub places: Vec<PlaceStatus>,
-    /// All hosts that it knows.
+    /// All hosts that it knows, including itself.
     pub members: Vec<MemberRecord>,
 }
--- a/src/declaration/check.rs
+++ b/src/declaration/check.rs
@@ -1,4 +1,4 @@
-//! The rules that hold across the entries of a declaration.
+//! Validates a declaration: names, references, ranges, capacities and client blocks.
 
 use std::collections;
 
@@ -6,24 +6,24 @@
 use crate::result_code::ResultCode;
 use crate::source::{ProblemList, SourceSpan};
 
-/// The most client blocks that one declaration may make, for bounded memory on each entry host.
+/// Maximum number of client blocks in a declaration, to bound the memory of each entry host.
 pub const MAX_BLOCKS: u64 = 1_000_000;
 const MAX_NAME_LENGTH: usize = 64;
-/// The most slots of a backend server.
+/// Maximum number of slots of a backend server.
 pub(super) const MAX_SLOTS: u32 = 10_000;
-/// The largest weight of a class.
+/// Maximum weight of a request class.
 pub(super) const MAX_WEIGHT: u32 = 1_000;
-/// The most requests at once in a place or on a link.
+/// Maximum number of concurrent requests in a place or on a link.
 pub(super) const MAX_CONCURRENT: u32 = 1_000_000;
 
-/// Checks every rule and records every fault, so that an operator sees all at once.
+/// Checks every rule and records every fault, so that an operator sees all faults at once.
 pub fn check_declaration(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
     check_names(declaration, problems);
     check_references(declaration, problems);
     check_services(declaration, problems);
     check_ranges(declaration, problems);
-    check_hall_sums(declaration, problems);
-    check_link_sums(declaration, problems);
+    check_hall_capacity(declaration, problems);
+    check_link_capacity(declaration, problems);
     check_blocks(&declaration.blocks, problems);
 }
 
@@ -64,7 +64,7 @@
         if !seen.insert(name) {
             problems.push(
                 ResultCode::NameDuplicate,
-                format!("{kind} `{name}` stands twice"),
+                format!("{kind} `{name}` is declared twice"),
                 span,
             );
         }
@@ -113,7 +113,7 @@
 
 fn check_references(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
     let index = NameIndex::from_declaration(declaration);
-    let mut need = |known: &collections::HashSet<&str>, kind: &str, name: &str, span| {
+    let mut require = |known: &collections::HashSet<&str>, kind: &str, name: &str, span| {
         if !known.contains(name) {
             problems.push(
                 ResultCode::NameDangling,
@@ -123,28 +123,28 @@
         }
     };
     for hall in &declaration.halls {
-        need(&index.regions, "region", &hall.region, hall.span);
+        require(&index.regions, "region", &hall.region, hall.span);
     }
     for link in &declaration.links {
-        need(&index.regions, "region", &link.from, link.span);
-        need(&index.regions, "region", &link.to, link.span);
+        require(&index.regions, "region", &link.from, link.span);
+        require(&index.regions, "region", &link.to, link.span);
     }
     for server in &declaration.servers {
-        need(&index.services, "service", &server.service, server.span);
-        need(&index.halls, "hall", &server.hall, server.span);
+        require(&index.services, "service", &server.service, server.span);
+        require(&index.halls, "hall", &server.hall, server.span);
     }
     for block in &declaration.blocks {
-        need(&index.regions, "region", &block.region, block.span);
+        require(&index.regions, "region", &block.region, block.span);
     }
     for shift in &declaration.shifts {
-        need(&index.services, "service", &shift.service, shift.span);
-        need(&index.regions, "region", &shift.from, shift.span);
-        need(&index.regions, "region", &shift.to, shift.span);
+        require(&index.services, "service", &shift.service, shift.span);
+        require(&index.regions, "region", &shift.from, shift.span);
+        require(&index.regions, "region", &shift.to, shift.span);
     }
     for drain in &declaration.drains {
         match drain.kind {
-            DrainKind::Server => need(&index.servers, "server", &drain.name, drain.span),
-            DrainKind::Hall => need(&index.halls, "hall", &drain.name, drain.span),
+            DrainKind::Server => require(&index.servers, "server", &drain.name, drain.span),
+            DrainKind::Hall => require(&index.halls, "hall", &drain.name, drain.span),
             DrainKind::Host => {}
         }
     }
@@ -165,12 +165,12 @@
             problems,
         );
         if service.classes.iter().any(|class| class.deadline_ms == 0) {
-            let message = format!("a class of service `{}` has no time at all", service.name);
+            let message = format!("a class of service `{}` has a deadline of 0", service.name);
             problems.push(ResultCode::ValueOutOfRange, message, service.span);
         }
         let shares = [service.retry_budget, service.shift.share_per_minute];
         if shares.iter().any(|share| !(0.0..=1.0).contains(share)) {
-            let message = format!("a share of service `{}` lies outside 0..=1", service.name);
+            let message = format!("a share of service `{}` is outside 0..=1", service.name);
             problems.push(ResultCode::ValueOutOfRange, message, service.span);
         }
     }
@@ -182,33 +182,43 @@
     }
 }
 
-/// The ranges of numbers, which a declaration that came by a call or from the platform has not
-/// been held to yet.
+/// Checks the ranges of numbers. Declarations from files are checked when they are read, but those
+/// from a call or from the platform are not.
 fn check_ranges(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
-    let mut need = |fits: bool, what: &str, name: &str, span| {
-        if !fits {
-            let message = format!("{what} of `{name}` lies outside its range");
+    let mut require = |is_in_range: bool, what: &str, name: &str, span| {
+        if !is_in_range {
+            let message = format!("{what} of `{name}` is out of range");
             problems.push(ResultCode::ValueOutOfRange, message, span);
         }
     };
     for server in &declaration.servers {
-        let fits = (1..=MAX_SLOTS).contains(&server.slots);
-        need(fits, "`slots`", &server.name, server.span);
+        let is_in_range = (1..=MAX_SLOTS).contains(&server.slots);
+        require(is_in_range, "`slots`", &server.name, server.span);
     }
     for hall in &declaration.halls {
-        let fits = (1..=MAX_CONCURRENT).contains(&hall.capacity);
-        need(fits, "`capacity`", &hall.name, hall.span);
+        let is_in_range = (1..=MAX_CONCURRENT).contains(&hall.capacity);
+        require(is_in_range, "`capacity`", &hall.name, hall.span);
     }
     for service in &declaration.services {
-        let fits = service.shift.concurrent <= MAX_CONCURRENT;
-        need(fits, "`shift.concurrent`", &service.name, service.span);
+        let is_in_range = service.shift.concurrent <= MAX_CONCURRENT;
+        require(
+            is_in_range,
+            "`shift.concurrent`",
+            &service.name,
+            service.span,
+        );
         let mut weights = service.classes.iter().map(|class| class.weight);
-        let fits = weights.all(|weight| (1..=MAX_WEIGHT).contains(&weight));
-        need(fits, "`weight` of a class", &service.name, service.span);
+        let is_in_range = weights.all(|weight| (1..=MAX_WEIGHT).contains(&weight));
+        require(
+            is_in_range,
+            "`weight` of a class",
+            &service.name,
+            service.span,
+        );
     }
 }
 
-fn check_hall_sums(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
+fn check_hall_capacity(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
     for hall in &declaration.halls {
         let servers = declaration
             .servers
@@ -217,7 +227,7 @@
         let slots: u64 = servers.map(|server| u64::from(server.slots)).sum();
         if slots > u64::from(hall.capacity) {
             let message = format!(
-                "the servers of hall `{}` have {slots} slots, its capacity is {}",
+                "the servers of hall `{}` have {slots} slots, but its capacity is {}",
                 hall.name, hall.capacity
             );
             problems.push(ResultCode::CapacityExceeded, message, hall.span);
@@ -225,7 +235,7 @@
     }
 }
 
-fn check_link_sums(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
+fn check_link_capacity(declaration: &SteeringDeclaration, problems: &mut ProblemList) {
     let moved: u64 = declaration
         .services
         .iter()
@@ -233,21 +243,21 @@
         .sum();
     let mut seen = collections::HashSet::new();
     for link in &declaration.links {
-        let ends = if link.from < link.to {
+        let endpoints = if link.from < link.to {
             (&link.from, &link.to)
         } else {
             (&link.to, &link.from)
         };
-        if !seen.insert(ends) || link.from == link.to {
+        if !seen.insert(endpoints) || link.from == link.to {
             let message = format!(
-                "the link {} - {} stands twice or joins one region",
+                "the link {} - {} is declared twice or connects a region to itself",
                 link.from, link.to
             );
             problems.push(ResultCode::NameDuplicate, message, link.span);
         }
         if moved > u64::from(link.concurrent) {
             let message = format!(
-                "the shift caps of all services add up to {moved}, the link {} - {} carries {}",
+                "the shift caps of all services add up to {moved}, but the link {} - {} carries {}",
                 link.from, link.to, link.concurrent
             );
             problems.push(ResultCode::CapacityExceeded, message, link.span);
@@ -258,7 +268,7 @@
 fn check_blocks(blocks: &[BlockEntry], problems: &mut ProblemList) {
     let total: u64 = blocks.iter().map(BlockEntry::block_count).sum();
     if total > MAX_BLOCKS {
-        let message = format!("{total} client blocks, at most {MAX_BLOCKS} are allowed");
+        let message = format!("{total} client blocks, but at most {MAX_BLOCKS} are allowed");
         problems.push(
             ResultCode::CapacityExceeded,
             message,
@@ -268,7 +278,7 @@
     for block in blocks {
         let range = block.prefix.prefix_len()..=block.prefix.max_prefix_len();
         if !range.contains(&block.split) {
-            let message = format!("`split` of {} must lie in {range:?}", block.prefix);
+            let message = format!("`split` of {} must be in {range:?}", block.prefix);
             problems.push(ResultCode::ValueOutOfRange, message, block.span);
         }
     }
--- a/src/declaration/diff.rs
+++ b/src/declaration/diff.rs
@@ -1,4 +1,4 @@
-//! What changes between two declarations, entry by entry.
+//! Computes the difference between two declarations, entry by entry.
 
 use std::{collections, fmt};
 
@@ -12,7 +12,7 @@
     Added,
     /// Only in the old declaration.
     Removed,
-    /// In both, with other content.
+    /// In both, with different content.
     Changed,
 }
 
@@ -26,11 +26,12 @@
 }
 
 impl DeclarationChange {
-    /// Whether this is a drain or shift in force that the files do not name: `apply` keeps it.
+    /// Whether this is an active drain or shift that is missing from the files. `apply` keeps it.
     #[must_use]
     pub fn is_kept_order(&self) -> bool {
-        let is_order = self.entry.starts_with("drains ") || self.entry.starts_with("shifts ");
-        self.kind == ChangeKind::Removed && is_order
+        let is_drain_or_shift =
+            self.entry.starts_with("drains ") || self.entry.starts_with("shifts ");
+        self.kind == ChangeKind::Removed && is_drain_or_shift
     }
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Lists what `new` changes against `old`, section by section in the order of keys.
+/// Lists the changes from `old` to `new`, by section and sorted by key.
 ///
 /// ```
 /// use ledgespool::declaration;
@@ -58,56 +59,56 @@
     new: &SteeringDeclaration,
 ) -> Vec<DeclarationChange> {
     let mut changes = Vec::new();
-    section(
+    compare_section(
         "services",
         &old.services,
         &new.services,
         |entry| entry.name.clone(),
         &mut changes,
     );
-    section(
+    compare_section(
         "regions",
         &old.regions,
         &new.regions,
         |entry| entry.name.clone(),
         &mut changes,
     );
-    section(
+    compare_section(
         "halls",
         &old.halls,
         &new.halls,
         |entry| entry.name.clone(),
         &mut changes,
     );
-    section(
+    compare_section(
         "links",
         &old.links,
         &new.links,
         |entry| format!("{} - {}", entry.from, entry.to),
         &mut changes,
     );
-    section(
+    compare_section(
         "servers",
         &old.servers,
         &new.servers,
         |entry| entry.name.clone(),
         &mut changes,
     );
-    section(
+    compare_section(
         "blocks",
         &old.blocks,
         &new.blocks,
         |entry| entry.prefix.to_string(),
         &mut changes,
     );
-    section(
+    compare_section(
         "drains",
         &old.drains,
         &new.drains,
         |entry| format!("{:?} {}", entry.kind, entry.name),
         &mut changes,
     );
-    section(
+    compare_section(
         "shifts",
         &old.shifts,
         &new.shifts,
@@ -117,7 +118,7 @@
     changes
 }
 
-fn section<T: serde::Serialize>(
+fn compare_section<T: serde::Serialize>(
     name: &str,
     old: &[T],
     new: &[T],
@@ -137,7 +138,7 @@
     for (key, entry) in &new {
         match old.get(key) {
             None => push(ChangeKind::Added, key),
-            Some(before) if !is_same(before, entry) => push(ChangeKind::Changed, key),
+            Some(before) if !is_equal(before, entry) => push(ChangeKind::Changed, key),
             Some(_) => {}
         }
     }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Compares without source positions, which are no part of the serialized form.
-fn is_same<T: serde::Serialize>(left: &T, right: &T) -> bool {
+/// Compares the serialized forms, which do not contain source positions.
+fn is_equal<T: serde::Serialize>(left: &T, right: &T) -> bool {
     serde_json::to_value(left).ok() == serde_json::to_value(right).ok()
 }
--- a/src/declaration/mod.rs
+++ b/src/declaration/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' declaration: services, places, backend servers, client blocks and rules.
+//! The operators' declaration: services, regions, halls, backend servers, client blocks and rules.
 //!
-//! A declaration is kept in version control as a directory of JSON-with-comments files, which are
-//! read together, checked as a whole and applied as one generation.
+//! A declaration is a directory of JSON-with-comments files under version control. The files are
+//! read together, validated as a whole and applied as one generation.
 
 mod check;
 mod diff;
@@ -15,21 +15,21 @@
 
 use crate::source;
 
-/// Retries for each success, where a service declares none.
+/// Default retries for each successful request.
 const DEFAULT_RETRY_BUDGET: f64 = 0.1;
-/// How long claim keys are remembered, where a service declares nothing: 15 minutes.
+/// Default time that claim keys are remembered: 15 minutes.
 const DEFAULT_CLAIM_WINDOW_MS: u64 = 15 * 60_000;
 
-/// Everything that operators declare, in the order that the files give it.
+/// Everything that operators declare, in the order of the files.
 #[derive(
     Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct SteeringDeclaration {
-    /// Services that callers ask for.
+    /// Services that callers request.
     #[serde(default)]
     pub services: Vec<ServiceEntry>,
-    /// Regions, the largest places.
+    /// Regions.
     #[serde(default)]
     pub regions: Vec<RegionEntry>,
     /// Halls within regions.
@@ -41,18 +41,18 @@
     /// Backend servers.
     #[serde(default)]
     pub servers: Vec<ServerEntry>,
-    /// Where callers live.
+    /// Ranges of client addresses and their regions.
     #[serde(default)]
     pub blocks: Vec<BlockEntry>,
-    /// Drains in force.
+    /// Active drains.
     #[serde(default)]
     pub drains: Vec<DrainEntry>,
-    /// Shifts in force.
+    /// Active shifts.
     #[serde(default)]
     pub shifts: Vec<ShiftEntry>,
 }
 
-/// What the operator weighs first for a service.
+/// The objective that has priority when choosing a hall for a service.
 #[derive(
     Debug,
     Clone,
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Unique name; the `SERVICE` of `/call/SERVICE/...`.
+    /// Unique name: the `SERVICE` in `/call/SERVICE/...`.
     pub name: String,
     /// Request classes; at least one.
     pub classes: Vec<ClassEntry>,
@@ -85,12 +85,12 @@
     pub retry_budget: f64,
     /// How long claim keys are remembered, in milliseconds.
     pub claim_window_ms: u64,
-    /// What to weigh first.
+    /// The objective that has priority.
     #[serde(default)]
     pub priority: SteeringPriority,
-    /// Caps for traffic that is moved between regions.
+    /// Limits for requests that are moved between regions.
     pub shift: ShiftRule,
-    /// How drains of this service go.
+    /// Rules for drains of this service.
     pub drain: DrainRule,
     #[serde(skip)]
     pub(crate) span: Option<source::SourceSpan>,
@@ -104,33 +104,34 @@
 pub struct ClassEntry {
     /// Unique within the service.
     pub name: String,
-    /// Weight of one request answered correctly, 1 to 1000; the heavier class is refused later.
+    /// Weight of one correctly answered request, 1 to 1000. Classes with a higher weight are refused
+    /// later.
     pub weight: u32,
-    /// The deadline given to a request that names none, in milliseconds.
+    /// Default deadline of a request in milliseconds.
     pub deadline_ms: u64,
-    /// Whether running a request twice does no harm.
+    /// Whether requests are idempotent, so that they may run twice.
     pub repeatable: bool,
 }
 
-/// Caps for work moved between regions, also at failover.
+/// Limits for requests moved between regions, which also apply to failover.
 #[derive(
     Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct ShiftRule {
-    /// The most moved requests running at once, for each pair of regions.
+    /// Maximum number of moved requests in flight, for each pair of regions.
     pub concurrent: u32,
-    /// How fast the moved work may grow: share of `concurrent` per minute (0 to 1).
+    /// Maximum growth of the moved requests per minute, as a share of `concurrent` (0 to 1).
     pub share_per_minute: f64,
 }
 
-/// How a drain goes.
+/// Rules for drains.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct DrainRule {
-    /// After this time the drain is reported as slow, in milliseconds; nothing is cut.
+    /// Time after which a drain is reported as slow, in milliseconds. Requests are not interrupted.
     pub alarm_ms: u64,
 }
 
@@ -154,27 +155,27 @@
 pub struct HallEntry {
     /// Unique name.
     pub name: String,
-    /// The region it stands in.
+    /// The region that it is in.
     pub region: String,
-    /// The most requests that all services together may run in it at once.
+    /// Maximum number of requests of all services together that may run in it at once.
     pub capacity: u32,
     #[serde(skip)]
     pub(crate) span: Option<source::SourceSpan>,
 }
 
-/// A link between two regions, for both directions alike.
+/// A link between two regions, with the same properties in both directions.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct LinkEntry {
-    /// One end.
+    /// One region.
     pub from: String,
-    /// The other end.
+    /// The other region.
     pub to: String,
     /// One-way latency in milliseconds.
     pub latency_ms: u64,
-    /// The most requests that may cross it at once, in each direction.
+    /// Maximum number of requests in flight across it, in each direction.
     pub concurrent: u32,
     #[serde(skip)]
     pub(crate) span: Option<source::SourceSpan>,
@@ -190,19 +191,19 @@
     pub name: String,
     /// The service that it runs.
     pub service: String,
-    /// The hall it stands in.
+    /// The hall that it is in.
     pub hall: String,
-    /// Where it listens.
+    /// Its listen address.
     pub address: net::SocketAddr,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections that it accepts.
     pub connections: u32,
     #[serde(skip)]
     pub(crate) span: Option<source::SourceSpan>,
 }
 
-/// A range of client addresses that is cut into equal client blocks.
+/// A range of client addresses that is divided into client blocks of equal size.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -211,16 +212,16 @@
     /// The whole range.
     #[schemars(with = "String")]
     pub prefix: ipnet::IpNet,
-    /// Prefix length of each client block in it; not shorter than that of `prefix`.
+    /// Prefix length of each client block; at least that of `prefix`.
     pub split: u8,
-    /// The region that its callers are near.
+    /// The region closest to its callers.
     pub region: String,
     #[serde(skip)]
     pub(crate) span: Option<source::SourceSpan>,
 }
 
 impl BlockEntry {
-    /// A range cut into blocks of `split` bits.
+    /// A range divided into blocks with a prefix of `split` bits.
     #[must_use]
     pub fn new(prefix: ipnet::IpNet, split: u8, region: &str) -> Self {
         Self {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// How many client blocks the range holds, at most 2^32.
+    /// Number of client blocks in the range, at most 2^32.
     #[must_use]
     pub fn block_count(&self) -> u64 {
         let bits = self.split.saturating_sub(self.prefix.prefix_len());
@@ -239,7 +240,7 @@
     }
 }
 
-/// What a drain empties.
+/// The kind of target that a drain applies to.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -253,13 +254,13 @@
     Host,
 }
 
-/// A drain in force.
+/// An active drain.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct DrainEntry {
-    /// What kind of thing is drained.
+    /// The kind of the target.
     pub kind: DrainKind,
     /// Its name.
     pub name: String,
@@ -267,24 +268,24 @@
     pub(crate) span: Option<source::SourceSpan>,
 }
 
-/// A shift in force: callers near `from` are to be served in `to`.
+/// An active shift: callers of region `from` are served in region `to`.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ShiftEntry {
     /// The service.
     pub service: String,
-    /// The region whose callers move.
+    /// The region whose callers are moved.
     pub from: String,
     /// The region that receives them.
     pub to: String,
-    /// The share of the callers' work to move (0 to 1).
+    /// The share of their requests to move (0 to 1).
     pub share: f64,
     #[serde(skip)]
     pub(crate) span: Option<source::SourceSpan>,
 }
 
 impl DrainEntry {
-    /// A drain of the named thing.
+    /// A drain of the named target.
     #[must_use]
     pub fn with_name(kind: DrainKind, name: &str) -> Self {
         Self {
@@ -296,7 +297,7 @@
 }
 
 impl ShiftEntry {
-    /// A shift of a share (0 to 1) of the callers' work.
+    /// A shift of a share (0 to 1) of the callers' requests.
     #[must_use]
     pub fn with_share(service: &str, from: &str, to: &str, share: f64) -> Self {
         Self {
@@ -321,7 +322,7 @@
 }
 
 impl HallEntry {
-    /// A hall that carries `capacity` requests at once.
+    /// A hall that runs at most `capacity` requests at once.
     #[must_use]
     pub fn new(name: &str, region: &str, capacity: u32) -> Self {
         Self {
@@ -334,7 +335,7 @@
 }
 
 impl LinkEntry {
-    /// A link that carries `concurrent` requests in each direction.
+    /// A link that carries at most `concurrent` requests at once in each direction.
     #[must_use]
     pub fn new(from: &str, to: &str, latency_ms: u64, concurrent: u32) -> Self {
         Self {
@@ -371,7 +372,7 @@
 }
 
 impl ServiceEntry {
-    /// A service with the default retry budget (a tenth) and claim window (15 minutes).
+    /// A service with the default retry budget (0.1) and claim window (15 minutes).
     #[must_use]
     pub fn new(
         name: &str,
@@ -418,7 +419,7 @@
         self.halls.iter().find(|hall| hall.name == name)
     }
 
-    /// Whether a drain of this thing is in force.
+    /// Whether this target is being drained.
     #[must_use]
     pub fn is_draining(&self, kind: DrainKind, name: &str) -> bool {
         self.drains
@@ -426,7 +427,7 @@
             .any(|drain| drain.kind == kind && drain.name == name)
     }
 
-    /// Whether a backend server may get new work: neither it nor its hall is drained.
+    /// Whether a backend server may get new requests: neither it nor its hall is being drained.
     #[must_use]
     pub fn is_serving(&self, server: &ServerEntry) -> bool {
         !self.is_draining(DrainKind::Server, &server.name)
--- a/src/declaration/read.rs
+++ b/src/declaration/read.rs
@@ -1,4 +1,4 @@
-//! Reads declaration files into one [`SteeringDeclaration`].
+//! Parses declaration files into one [`SteeringDeclaration`].
 
 use std::{fs, path, time};
 
@@ -16,7 +16,7 @@
 const FILE_EXTENSION: &str = "jsonc";
 const DEFAULT_DRAIN_ALARM: time::Duration = time::Duration::from_mins(10);
 
-/// Reads and checks all `*.jsonc` files of a directory, in the order of their names.
+/// Reads and validates all `*.jsonc` files of a directory, in the order of their names.
 ///
 /// # Errors
 /// `FileUnreadable`, or `Rejected` with every fault of all files.
@@ -49,7 +49,7 @@
     from_sources(&sources?)
 }
 
-/// Reads and checks texts that together make one declaration.
+/// Reads and validates texts that together form one declaration.
 ///
 /// # Errors
 /// `Rejected` with every fault of all texts.
@@ -65,7 +65,7 @@
     let mut whole = SteeringDeclaration::default();
     for (file, source) in sources.iter().enumerate() {
         if let Some(part) = object_reader::read_object(file, source, &mut problems, read_part) {
-            append(&mut whole, part);
+            merge(&mut whole, part);
         }
     }
     check_declaration(&whole, &mut problems);
@@ -73,7 +73,7 @@
     Ok(whole)
 }
 
-fn append(whole: &mut SteeringDeclaration, part: SteeringDeclaration) {
+fn merge(whole: &mut SteeringDeclaration, part: SteeringDeclaration) {
     whole.services.extend(part.services);
     whole.regions.extend(part.regions);
     whole.halls.extend(part.halls);
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,8 +1,8 @@
-//! Entry hosts as the others know them.
+//! Membership records of entry hosts.
 
 use std::net;
 
-/// A host's name together with the run of its process.
+/// A host's name and the incarnation of its process.
 #[derive(
     Debug,
     Clone,
@@ -19,11 +19,11 @@
 pub struct HostIdentity {
     /// The entry host's name.
     pub name: String,
-    /// Grows with every start of its process: Unix milliseconds of the start.
+    /// The start time of its process in Unix milliseconds; increases with every start.
     pub incarnation: u64,
 }
 
-/// What is believed of a host.
+/// The state of a host as its peers see it.
 #[derive(
     Debug,
     Clone,
@@ -38,45 +38,45 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It answers.
+    /// It answers heartbeats.
     Live,
-    /// It is being drained or stopped: it finishes what it has.
+    /// It is being drained or stopped and finishes its remaining requests.
     Leaving,
-    /// It missed heartbeats; it may refute.
+    /// It missed heartbeats and may refute the suspicion.
     Suspect,
-    /// It stayed silent past the suspicion.
+    /// It did not refute the suspicion in time.
     Dead,
 }
 
-/// One host's entry in the membership.
+/// One host's membership record.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct MemberRecord {
-    /// Who it is.
+    /// Its name and incarnation.
     pub identity: HostIdentity,
-    /// Raised by the host itself to refute a suspicion.
+    /// Counter that the host itself raises to refute a suspicion.
     pub refutation: u32,
-    /// What is believed of it.
+    /// Its state.
     pub state: HostState,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: net::SocketAddr,
-    /// Where peers and operators reach it.
+    /// Address for peers and operators.
     pub control_address: net::SocketAddr,
-    /// The hall that it stands in.
+    /// The hall that it is in.
     pub hall: String,
 }
 
 impl MemberRecord {
-    /// Whether callers may be sent to it.
+    /// Whether it is advertised to callers.
     #[must_use]
     pub fn is_offered(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Suspect)
     }
 
-    /// Whether this record replaces `other` of the same host: the later incarnation wins, then
-    /// the later refutation, then the worse state.
+    /// Whether this record replaces `other` of the same host. The higher incarnation wins, then
+    /// the higher refutation counter, then the worse state.
     #[must_use]
     pub fn overrides(&self, other: &Self) -> bool {
         let key = |record: &Self| (record.identity.incarnation, record.refutation, record.state);
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan object: who plans, and the grants of every place.
+//! The plan object: the planner and the budgets of all places.
 
 use std::net;
 
@@ -7,38 +7,38 @@
 use crate::member;
 use crate::result_code::ResultCode;
 
-/// The largest object that the platform holds, in bytes.
+/// Maximum size of a platform object in bytes.
 pub const MAX_OBJECT_BYTES: usize = 1_000_000;
 
-/// A host that the plan has to do with.
+/// A host that the plan concerns.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct PlanHost {
-    /// Who it is.
+    /// Its name and incarnation.
     pub identity: member::HostIdentity,
-    /// Its control address: a later incarnation that holds it proves this one gone.
+    /// Its control address. A later incarnation at the same address proves that this one has ended.
     pub control_address: net::SocketAddr,
     /// Its hall.
     pub hall: String,
-    /// The version of the platform's host list that showed it last; 0 when none did.
+    /// The last version of the platform's host list that contained it; 0 if none did.
     pub listed_at: u64,
 }
 
-/// Everything that a planner must know of its predecessors.
+/// The plan. It contains everything that a planner must know about its predecessors' grants.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields)]
 pub struct SteeringPlan {
-    /// Grows by one with each write, across planners.
+    /// Incremented by one with each write, also when the planner changes.
     pub sequence: u64,
-    /// The host that wrote it: the planner.
+    /// The planner: the host that wrote it.
     pub holder: member::HostIdentity,
-    /// The configuration generation that it was made for.
+    /// The configuration generation that it is based on.
     pub generation: u64,
-    /// Hosts that hold units or may get some.
+    /// Hosts that hold units or may get units.
     pub hosts: Vec<PlanHost>,
     /// The budget of every place.
     pub budgets: Vec<budget::PlaceBudget>,
@@ -52,13 +52,13 @@
 pub struct PlaceGrant {
     /// The place.
     pub key: budget::PlaceKey,
-    /// Units.
+    /// Units granted.
     pub units: u32,
-    /// Where its units lie among those of all hosts, so that each host fills slots of its own.
+    /// Number of units granted to preceding hosts, so that each host uses different slots first.
     pub offset: u32,
 }
 
-/// All grants of one host in one plan; a place that is absent has none.
+/// All grants of one host in one plan. A place that is absent has no grant.
 #[derive(
     Debug, Clone, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -71,7 +71,7 @@
 }
 
 impl SteeringPlan {
-    /// Reads a plan object.
+    /// Parses a plan object.
     ///
     /// # Errors
     /// `ObjectInvalid` when it does not parse.
@@ -80,10 +80,10 @@
             .map_err(|fault| Error::with_code(ResultCode::ObjectInvalid, format!("plan: {fault}")))
     }
 
-    /// Writes a plan object.
+    /// Serializes a plan object.
     ///
     /// # Errors
-    /// `ObjectTooLarge` past one megabyte.
+    /// `ObjectTooLarge` when it exceeds [`MAX_OBJECT_BYTES`].
     pub fn to_bytes(&self) -> error::Result<Vec<u8>> {
         let bytes = serde_json::to_vec(self).map_err(|fault| {
             Error::with_code(ResultCode::ObjectInvalid, format!("plan: {fault}"))
--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -174,7 +174,7 @@
     topology: &topology::SteeringTopology,
 ) -> ramp::RampEvidence {
     let of_place = loads.iter().filter(|((_, place), _)| place == key);
-    let milli = budget::total(of_place.map(|(_, load)| load.milli));
+    let milli = budget::saturating_sum(of_place.map(|(_, load)| load.milli));
     let demand = milli.div_ceil(1_000);
     let mut seen = ramp::RampEvidence {
         demand,
@@ -280,7 +280,7 @@
         .entries
         .iter()
         .filter(|entry| !takes_part(&entry.host));
-    budget::total(others.map(|entry| entry.held))
+    budget::saturating_sum(others.map(|entry| entry.held))
 }
 
 /// A leaving host that still reports gives its units back.
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,4 +1,4 @@
-//! What a host tells the planner.
+//! Usage reports that hosts send to the planner.
 
 use std::net;
 
@@ -13,14 +13,14 @@
 pub struct PlaceUsage {
     /// The place.
     pub key: budget::PlaceKey,
-    /// Units in use now, counted after the reported plan came into force.
+    /// Units currently in use, counted after the reported plan became active.
     pub in_use: u32,
-    /// Its offered load in thousandths of a unit: units in use on average, and those that waiting
-    /// and refused requests would have used.
+    /// Its offered load in thousandths of a unit: the average number of units in use, plus the
+    /// units that waiting and refused requests would have used.
     pub load_milli: u32,
     /// Requests answered.
     pub completed: u32,
-    /// Requests refused for want of units.
+    /// Requests refused because no unit was free.
     pub refused: u32,
 }
 
@@ -30,16 +30,16 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct HostReport {
-    /// Who reports.
+    /// The reporting host.
     pub identity: member::HostIdentity,
     /// Its control address.
     pub control_address: net::SocketAddr,
     /// Its hall.
     pub hall: String,
-    /// Whether it takes no new callers.
+    /// Whether it is leaving and accepts no new callers.
     pub leaving: bool,
-    /// The plan sequence that all its workers have in force.
+    /// The plan sequence that is active on all its workers.
     pub installed: u64,
-    /// Its use of places; those without any are left out.
+    /// Its use of places; unused places are omitted.
     pub usage: Vec<PlaceUsage>,
 }
