--- a/src/claim_role.rs
+++ b/src/claim_role.rs
@@ -1,11 +1,12 @@
-//! The claim role: group commits of claims to shard objects by conditional update.
+//! The claim role: commits claims to shard objects in batches, by conditional update.
 //!
-//! Correctness rests on the conditional update alone: any host may commit to any shard. The
-//! owner, found by rendezvous over the live hosts, only keeps writers from getting in each
-//! other's way. Platform writes follow shards and time, not requests.
+//! Correctness depends only on the conditional update: any host may commit to any shard. Each
+//! shard has an owner, chosen by rendezvous hashing over the live hosts, only to reduce write
+//! conflicts. The number of platform writes depends on the number of shards and on time, not on
+//! the number of requests.
 //!
-//! Memory: at most [`MAX_WAITING`] operations, [`MAX_ABANDONED`] abandoned attempts, and the
-//! shards used in the last [`SHARD_LIFE_MS`].
+//! Memory: at most [`MAX_PENDING_OPERATIONS`] operations, [`MAX_ABANDONED_ATTEMPTS`] abandoned
+//! attempts, and the shards used within the last [`SHARD_IDLE_TIMEOUT_MS`].
 
 use std::collections;
 
@@ -13,42 +14,43 @@
 use crate::platform_call::{ReadResult, WriteResult};
 use crate::timer;
 
-/// Shard objects in the platform.
+/// Number of shard objects on the platform.
 pub const SHARD_COUNT: u16 = 64;
-/// Operations that may wait on one host.
-pub const MAX_WAITING: usize = 4_096;
-/// Attempts given up whose claim may still come to light.
-pub const MAX_ABANDONED: usize = 10_000;
-/// A shard that nobody used for this long is dropped from memory.
-pub const SHARD_LIFE_MS: u64 = 60_000;
-/// Outcomes wait this long for a claim to travel with.
-const SETTLE_DELAY_MS: u64 = 200;
-/// After a failed call, claims of the shard are refused at once for this long.
+/// Maximum number of pending operations on one host.
+pub const MAX_PENDING_OPERATIONS: usize = 4_096;
+/// Maximum number of remembered abandoned attempts, whose claims may still appear in a shard.
+pub const MAX_ABANDONED_ATTEMPTS: usize = 10_000;
+/// A shard that was not used for this long is dropped from memory.
+pub const SHARD_IDLE_TIMEOUT_MS: u64 = 60_000;
+/// Time that outcomes and releases wait for a claim to share a write with.
+const MAX_DEFER_MS: u64 = 200;
+/// Time after a failed call during which claims of the shard are refused immediately.
 const BACKOFF_MS: u64 = 500;
 
 /// A claim to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Picks the waiting request.
+    /// Identifies the waiting request.
     pub ticket: u64,
     /// The key.
     pub key: ClaimKey,
-    /// Who wants to run it.
+    /// The attempt that wants to run it.
     pub attempt: ClaimAttempt,
-    /// Past this moment the request is refused as not run.
+    /// After this moment the request is refused as not run.
     pub deadline: timer::Moment,
 }
 
-/// What a claim came to.
+/// The answer to a claim request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The shard decided.
+    /// The verdict that the shard's object gives.
     Decided(ClaimVerdict),
-    /// Nothing could be recorded; nothing may be sent. Ask again after so many milliseconds.
+    /// Nothing could be recorded, so the request must not be sent. Retry after this many
+    /// milliseconds.
     Unavailable(u64),
 }
 
-/// What the role wants done.
+/// An action that the role requests from its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Read a shard's object.
@@ -57,12 +59,12 @@
     Write {
         /// The shard.
         shard: u16,
-        /// New content.
+        /// The new content.
         bytes: Vec<u8>,
         /// The version to replace.
         expected: Option<u64>,
     },
-    /// Tell a waiting request.
+    /// Answer a waiting request.
     Answer {
         /// The request's ticket.
         ticket: u64,
@@ -98,13 +100,13 @@
     phase: ShardPhase,
     stored: ClaimShard,
     version: Option<u64>,
-    waiting: Vec<ShardOperation>,
-    /// Operations of the write under way, and the content written.
+    pending: Vec<ShardOperation>,
+    /// Operations of the write in progress; `draft` is the content being written.
     batch: Vec<ShardOperation>,
     draft: ClaimShard,
-    settle_since: Option<timer::Moment>,
+    deferred_since: Option<timer::Moment>,
     blocked_until: timer::Moment,
-    used: timer::Moment,
+    last_used: timer::Moment,
 }
 
 impl ShardState {
@@ -113,26 +115,26 @@
             phase: ShardPhase::Unknown,
             stored: ClaimShard::default(),
             version: None,
-            waiting: Vec::new(),
+            pending: Vec::new(),
             batch: Vec::new(),
             draft: ClaimShard::default(),
-            settle_since: None,
+            deferred_since: None,
             blocked_until: now,
-            used: now,
+            last_used: now,
         }
     }
 
     fn has_claims(&self) -> bool {
-        self.waiting
+        self.pending
             .iter()
             .any(|operation| matches!(operation, ShardOperation::Claim(_)))
     }
 
     fn is_due(&self, now: timer::Moment) -> bool {
-        let settle_due = self
-            .settle_since
-            .is_some_and(|since| now.since(since) >= SETTLE_DELAY_MS);
-        now >= self.blocked_until && !self.waiting.is_empty() && (self.has_claims() || settle_due)
+        let deferred_due = self
+            .deferred_since
+            .is_some_and(|since| now.since(since) >= MAX_DEFER_MS);
+        now >= self.blocked_until && !self.pending.is_empty() && (self.has_claims() || deferred_due)
     }
 }
 
@@ -141,26 +143,26 @@
 pub struct ClaimRole {
     shards: collections::HashMap<u16, ShardState>,
     abandoned: collections::VecDeque<(u128, ClaimAttempt)>,
-    waiting: usize,
+    pending_count: usize,
 }
 
 impl ClaimRole {
-    /// A role that knows no shard yet.
+    /// A role without any loaded shard.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    fn shard_mut(&mut self, shard: u16, now: timer::Moment) -> &mut ShardState {
+    fn touch_shard(&mut self, shard: u16, now: timer::Moment) -> &mut ShardState {
         let state = self
             .shards
             .entry(shard)
             .or_insert_with(|| ShardState::new(now));
-        state.used = now;
+        state.last_used = now;
         state
     }
 
-    /// A request wants to own its key.
+    /// Queues a request's claim and starts a read or a write if possible.
     pub fn on_claim(
         &mut self,
         request: ClaimRequest,
@@ -168,20 +170,20 @@
         wall: &WallWindow,
     ) -> Vec<ClaimAction> {
         let ticket = request.ticket;
-        if self.waiting >= MAX_WAITING {
+        if self.pending_count >= MAX_PENDING_OPERATIONS {
             return vec![unavailable(ticket, BACKOFF_MS)];
         }
         let shard = request.key.shard(SHARD_COUNT);
-        let state = self.shard_mut(shard, now);
+        let state = self.touch_shard(shard, now);
         if now < state.blocked_until {
             return vec![unavailable(ticket, state.blocked_until.since(now))];
         }
-        state.waiting.push(ShardOperation::Claim(request));
-        self.waiting += 1;
+        state.pending.push(ShardOperation::Claim(request));
+        self.pending_count += 1;
         self.advance(shard, now, wall)
     }
 
-    /// The owning attempt was answered.
+    /// Queues the outcome of the owning attempt.
     pub fn on_settle(
         &mut self,
         digest: u128,
@@ -189,7 +191,7 @@
         status: u16,
         now: timer::Moment,
     ) {
-        self.push_later(
+        self.enqueue_deferred(
             digest,
             ShardOperation::Settle {
                 digest,
@@ -200,31 +202,31 @@
         );
     }
 
-    /// The owning attempt provably did not run.
+    /// Queues the release of a key whose owning attempt provably did not run.
     pub fn on_release(&mut self, digest: u128, attempt: ClaimAttempt, now: timer::Moment) {
         self.abandon(digest, attempt.clone());
-        self.push_later(digest, ShardOperation::Release { digest, attempt }, now);
+        self.enqueue_deferred(digest, ShardOperation::Release { digest, attempt }, now);
     }
 
-    fn push_later(&mut self, digest: u128, operation: ShardOperation, now: timer::Moment) {
-        if self.waiting >= MAX_WAITING {
+    fn enqueue_deferred(&mut self, digest: u128, operation: ShardOperation, now: timer::Moment) {
+        if self.pending_count >= MAX_PENDING_OPERATIONS {
             return;
         }
         let shard = ClaimKey { digest, made_at: 0 }.shard(SHARD_COUNT);
-        let state = self.shard_mut(shard, now);
-        state.waiting.push(operation);
-        state.settle_since.get_or_insert(now);
-        self.waiting += 1;
+        let state = self.touch_shard(shard, now);
+        state.pending.push(operation);
+        state.deferred_since.get_or_insert(now);
+        self.pending_count += 1;
     }
 
     fn abandon(&mut self, digest: u128, attempt: ClaimAttempt) {
-        if self.abandoned.len() >= MAX_ABANDONED {
+        if self.abandoned.len() >= MAX_ABANDONED_ATTEMPTS {
             self.abandoned.pop_front();
         }
         self.abandoned.push_back((digest, attempt));
     }
 
-    /// Lets time pass.
+    /// Refuses expired requests, starts due reads and writes, and drops idle shards.
     pub fn tick(&mut self, now: timer::Moment, wall: &WallWindow) -> Vec<ClaimAction> {
         let mut actions = self.expire(now);
         let shards: Vec<u16> = self.shards.keys().copied().collect();
@@ -232,19 +234,19 @@
             actions.extend(self.advance(shard, now, wall));
         }
         self.shards.retain(|_, state| {
-            let busy = !state.waiting.is_empty()
+            let busy = !state.pending.is_empty()
                 || !state.batch.is_empty()
                 || state.phase == ShardPhase::Reading;
-            busy || now.since(state.used) < SHARD_LIFE_MS
+            busy || now.since(state.last_used) < SHARD_IDLE_TIMEOUT_MS
         });
         actions
     }
 
-    /// Requests whose time is over are refused now; what their claim may have written is undone.
+    /// Refuses requests past their deadline and releases the claims that they may have written.
     fn expire(&mut self, now: timer::Moment) -> Vec<ClaimAction> {
         let mut expired = Vec::new();
         for state in self.shards.values_mut() {
-            for operations in [&mut state.waiting, &mut state.batch] {
+            for operations in [&mut state.pending, &mut state.batch] {
                 operations.retain(|operation| match operation {
                     ShardOperation::Claim(request) if now >= request.deadline => {
                         expired.push(request.clone());
@@ -256,7 +258,7 @@
         }
         let mut actions = Vec::new();
         for request in expired {
-            self.waiting = self.waiting.saturating_sub(1);
+            self.pending_count = self.pending_count.saturating_sub(1);
             actions.push(unavailable(request.ticket, BACKOFF_MS));
             self.on_release(request.key.digest, request.attempt, now);
         }
@@ -280,13 +282,14 @@
         }
     }
 
-    /// Applies all waiting operations to a draft; writes it, or answers if nothing changed.
+    /// Applies all pending operations to a draft. Writes the draft, or answers immediately if it
+    /// equals the stored content.
     fn commit(&mut self, shard: u16, now: timer::Moment, wall: &WallWindow) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
-        let batch = std::mem::take(&mut state.waiting);
-        state.settle_since = None;
+        let batch = std::mem::take(&mut state.pending);
+        state.deferred_since = None;
         let mut draft = state.stored.clone();
         for operation in &batch {
             apply(&mut draft, operation, &self.abandoned);
@@ -294,12 +297,12 @@
         if draft == state.stored {
             state.draft = draft;
             state.batch = batch;
-            return self.finish(shard);
+            return self.complete_batch(shard);
         }
         draft.prune(wall.now_unix_ms, wall.window_ms);
         let Ok(bytes) = draft.to_bytes() else {
             state.blocked_until = now.plus(BACKOFF_MS);
-            self.waiting = self.waiting.saturating_sub(batch.len());
+            self.pending_count = self.pending_count.saturating_sub(batch.len());
             return refuse_claims(&batch);
         };
         let expected = state.version;
@@ -313,15 +316,15 @@
         }]
     }
 
-    /// The draft holds: every operation of the batch gets its verdict.
-    fn finish(&mut self, shard: u16) -> Vec<ClaimAction> {
+    /// Makes the draft the stored content and answers every claim of the batch.
+    fn complete_batch(&mut self, shard: u16) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
         state.phase = ShardPhase::Ready;
         state.stored = std::mem::take(&mut state.draft);
         let batch = std::mem::take(&mut state.batch);
-        self.waiting = self.waiting.saturating_sub(batch.len());
+        self.pending_count = self.pending_count.saturating_sub(batch.len());
         let mut actions = Vec::new();
         for operation in batch {
             if let ShardOperation::Claim(request) = operation {
@@ -336,7 +339,7 @@
         actions
     }
 
-    /// A shard's object was read.
+    /// Handles the result of reading a shard's object.
     pub fn on_read(
         &mut self,
         shard: u16,
@@ -358,7 +361,7 @@
             ReadResult::Failed => None,
         };
         let Some((stored, version)) = loaded else {
-            return self.fail(shard, now);
+            return self.refuse_pending(shard, now);
         };
         state.stored = stored;
         state.version = version;
@@ -366,18 +369,18 @@
         self.advance(shard, now, wall)
     }
 
-    /// The platform failed: whoever waits is refused at once, and so is who comes soon after.
-    fn fail(&mut self, shard: u16, now: timer::Moment) -> Vec<ClaimAction> {
+    /// Refuses all pending claims after a failed read and blocks new ones for [`BACKOFF_MS`].
+    fn refuse_pending(&mut self, shard: u16, now: timer::Moment) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
         state.phase = ShardPhase::Unknown;
         state.blocked_until = now.plus(BACKOFF_MS);
-        let (claims, others): (Vec<_>, Vec<_>) = std::mem::take(&mut state.waiting)
+        let (claims, others): (Vec<_>, Vec<_>) = std::mem::take(&mut state.pending)
             .into_iter()
             .partition(|operation| matches!(operation, ShardOperation::Claim(_)));
-        state.waiting = others;
-        self.waiting = self.waiting.saturating_sub(claims.len());
+        state.pending = others;
+        self.pending_count = self.pending_count.saturating_sub(claims.len());
         let actions = refuse_claims(&claims);
         for operation in claims {
             if let ShardOperation::Claim(request) = operation {
@@ -387,8 +390,9 @@
         actions
     }
 
-    /// A shard's write ended. Unless it is known to have taken effect, the object is read again
-    /// and the whole batch applied to what it holds: an attempt finds its own claim there.
+    /// Handles the result of writing a shard's object. Unless the write is known to have
+    /// succeeded, the object is read again and the whole batch is applied to its content. If the
+    /// write did take effect, an attempt finds its own claim there.
     pub fn on_write(
         &mut self,
         shard: u16,
@@ -404,23 +408,23 @@
         }
         if let WriteResult::Stored { version } = result {
             state.version = Some(version);
-            let mut actions = self.finish(shard);
+            let mut actions = self.complete_batch(shard);
             actions.extend(self.advance(shard, now, wall));
             return actions;
         }
         let batch = std::mem::take(&mut state.batch);
-        let later = std::mem::replace(&mut state.waiting, batch);
-        state.waiting.extend(later);
-        state.settle_since.get_or_insert(now);
+        let newer = std::mem::replace(&mut state.pending, batch);
+        state.pending.extend(newer);
+        state.deferred_since.get_or_insert(now);
         state.phase = ShardPhase::Reading;
         vec![ClaimAction::Read(shard)]
     }
 }
 
-/// The wall clock and the longest claim window, which decide what a shard may forget.
+/// The current time and the longest claim window, which decide when records are pruned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WallWindow {
-    /// Unix milliseconds now.
+    /// The current time in Unix milliseconds.
     pub now_unix_ms: u64,
     /// The longest window of any service, in milliseconds.
     pub window_ms: u64,
@@ -434,7 +438,7 @@
     match operation {
         ShardOperation::Claim(request) => {
             let digest = request.key.digest;
-            let orphan = draft
+            let abandoned_owner = draft
                 .pending_attempt(digest)
                 .filter(|owner| {
                     abandoned
@@ -442,7 +446,7 @@
                         .any(|(key, attempt)| *key == digest && attempt == *owner)
                 })
                 .cloned();
-            if let Some(attempt) = orphan {
+            if let Some(attempt) = abandoned_owner {
                 draft.release(digest, &attempt);
             }
             draft.claim(&request.key, &request.attempt);
