--- a/src/config_role.rs
+++ b/src/config_role.rs
@@ -1,7 +1,9 @@
-//! The configuration role: generations only grow, and a race of operators has one winner.
+//! The configuration role: applies operators' changes and installs newer configurations.
 //!
-//! Memory: one configuration object, at most [`MAX_PENDING`] changes that wait, and one offer for
-//! each peer until the first generation is trusted.
+//! Generations only grow, and of concurrent changes to the same generation only one succeeds.
+//!
+//! Memory: one configuration object, at most [`MAX_PENDING_CHANGES`] pending changes, and one
+//! generation number for each peer until the first configuration is installed.
 
 use std::collections;
 
@@ -11,52 +13,52 @@
 use crate::result_code::ResultCode;
 use crate::timer;
 
-/// Changes that may wait on one host.
-pub const MAX_PENDING: usize = 16;
-/// How long one change may take before its operator gets an answer.
-const CHANGE_LIFE_MS: u64 = 5_000;
-/// Pause after a failed call to the platform.
-const RETRY_MS: u64 = 250;
-/// How often a host asks for an object that it has not got.
-const FIRST_READ_MS: u64 = 500;
+/// Maximum number of pending changes on one host.
+pub const MAX_PENDING_CHANGES: usize = 16;
+/// Time after which an operator gets a final answer even if the platform has not responded.
+const CHANGE_TIMEOUT_MS: u64 = 5_000;
+/// Delay after a failed call to the platform.
+const RETRY_DELAY_MS: u64 = 250;
+/// Interval between reads while the platform has no valid configuration object.
+const INITIAL_READ_INTERVAL_MS: u64 = 500;
 
-/// A change with the means to answer its operator.
+/// An operator's change and the ticket for its answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeRequest {
-    /// Picks the operator's call out of those that wait.
+    /// Identifies the operator's waiting call.
     pub ticket: u64,
-    /// The operator's id for it: the same id takes effect at most once.
+    /// The operator's id for the change. The same id takes effect at most once.
     pub operation: String,
-    /// The generation that the operator saw; `None` to change whatever is there.
+    /// The generation that the change is based on; `None` to change any generation.
     pub expected_generation: Option<u64>,
-    /// What to change.
+    /// The change.
     pub change: ConfigChange,
 }
 
-/// How a change ended.
+/// The result of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeAnswer {
     /// The request's ticket.
     pub ticket: u64,
-    /// The generation that the change made, or why not.
+    /// The generation that the change created, or why it was not accepted.
     pub result: Result<u64, ChangeFault>,
 }
 
 /// Why a change was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeFault {
-    /// The numbered code.
+    /// The result code.
     pub code: ResultCode,
     /// Details.
     pub detail: String,
 }
 
-/// What the role wants done.
+/// An action that the role requests from its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigAction {
     /// Read the configuration object.
     Read,
-    /// Write it conditionally.
+    /// Write the configuration object conditionally.
     Write {
         /// The new content.
         bytes: Vec<u8>,
@@ -65,7 +67,7 @@
     },
     /// Ask the named peer for its configuration.
     Fetch(String),
-    /// Put this configuration in force.
+    /// Activate this configuration.
     Install(ConfigObject),
     /// Answer an operator.
     Answer(ChangeAnswer),
@@ -75,8 +77,8 @@
 struct ActiveChange {
     request: ChangeRequest,
     deadline: timer::Moment,
-    /// Whether a write was sent whose end is not known.
-    written: bool,
+    /// Whether a write was sent, so that the change may have taken effect.
+    write_sent: bool,
 }
 
 #[derive(Debug, PartialEq, Eq)]
@@ -93,10 +95,10 @@
     state: ConfigState,
     active: Option<ActiveChange>,
     pending: collections::VecDeque<ActiveChange>,
-    offers: collections::HashMap<String, u64>,
-    fetching: Option<timer::Moment>,
+    peer_generations: collections::HashMap<String, u64>,
+    fetch_started_at: Option<timer::Moment>,
     platform_failed: bool,
-    read_at: Option<timer::Moment>,
+    next_read_at: Option<timer::Moment>,
 }
 
 impl Default for ConfigRole {
@@ -106,7 +108,7 @@
 }
 
 impl ConfigRole {
-    /// A host that holds nothing.
+    /// A role without a configuration.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -114,20 +116,20 @@
             state: ConfigState::Idle,
             active: None,
             pending: collections::VecDeque::new(),
-            offers: collections::HashMap::new(),
-            fetching: None,
+            peer_generations: collections::HashMap::new(),
+            fetch_started_at: None,
             platform_failed: false,
-            read_at: None,
+            next_read_at: None,
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     #[must_use]
     pub const fn installed(&self) -> Option<&ConfigObject> {
         self.installed.as_ref()
     }
 
-    /// The generation in force; 0 without one.
+    /// The active generation; 0 without one.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.installed
@@ -135,35 +137,35 @@
             .map_or(0, |object| object.generation)
     }
 
-    /// An operator asks for a change.
+    /// Queues an operator's change.
     pub fn on_change(&mut self, request: ChangeRequest, now: timer::Moment) -> Vec<ConfigAction> {
-        if self.pending.len() >= MAX_PENDING {
+        if self.pending.len() >= MAX_PENDING_CHANGES {
             return vec![refuse(
                 request.ticket,
                 ResultCode::ControlBusy,
-                "changes wait already",
+                "too many pending changes",
             )];
         }
         if !config_object::is_valid_operation(&request.operation) {
             return vec![refuse(
                 request.ticket,
                 ResultCode::ParameterInvalid,
-                "operation id",
+                "invalid operation id",
             )];
         }
-        let deadline = now.plus(CHANGE_LIFE_MS);
+        let deadline = now.plus(CHANGE_TIMEOUT_MS);
         self.pending.push_back(ActiveChange {
             request,
             deadline,
-            written: false,
+            write_sent: false,
         });
         self.tick(now)
     }
 
-    /// Lets time pass.
+    /// Expires changes and starts a read if one is due.
     pub fn tick(&mut self, now: timer::Moment) -> Vec<ConfigAction> {
         let mut actions = self.expire(now);
-        if self.state != ConfigState::Idle || self.read_at.is_some_and(|at| now < at) {
+        if self.state != ConfigState::Idle || self.next_read_at.is_some_and(|at| now < at) {
             return actions;
         }
         if self.active.is_none() {
@@ -176,18 +178,21 @@
         actions
     }
 
-    /// An operator whose change takes too long gets its final answer now.
+    /// Answers the operators of changes that have reached their deadline.
     fn expire(&mut self, now: timer::Moment) -> Vec<ConfigAction> {
         let expired = |change: &ActiveChange| now >= change.deadline;
-        let mut late: Vec<ActiveChange> = Vec::new();
-        late.extend(self.active.take_if(|change| expired(change)));
+        let mut timed_out: Vec<ActiveChange> = Vec::new();
+        timed_out.extend(self.active.take_if(|change| expired(change)));
         while self.pending.front().is_some_and(expired) {
-            late.extend(self.pending.pop_front());
+            timed_out.extend(self.pending.pop_front());
         }
-        late.into_iter().map(|change| give_up(&change)).collect()
+        timed_out
+            .into_iter()
+            .map(|change| time_out(&change))
+            .collect()
     }
 
-    /// The configuration object was read.
+    /// Handles the result of reading the configuration object.
     pub fn on_read(&mut self, result: &ReadResult, now: timer::Moment) -> Vec<ConfigAction> {
         if self.state != ConfigState::Reading {
             return Vec::new();
@@ -196,26 +201,29 @@
         match result {
             ReadResult::Failed => {
                 self.platform_failed = true;
-                self.read_at = Some(now.plus(RETRY_MS));
+                self.next_read_at = Some(now.plus(RETRY_DELAY_MS));
                 Vec::new()
             }
             ReadResult::Absent => {
                 self.platform_failed = false;
-                self.read_at = self.active.is_none().then(|| now.plus(FIRST_READ_MS));
+                self.next_read_at = self
+                    .active
+                    .is_none()
+                    .then(|| now.plus(INITIAL_READ_INTERVAL_MS));
                 self.write_change(None, None)
             }
             ReadResult::Found { bytes, version } => {
                 self.platform_failed = false;
                 match ConfigObject::from_bytes(bytes) {
-                    Ok(object) => self.on_object(&object, *version),
-                    Err(fault) => self.on_invalid(&fault, now),
+                    Ok(object) => self.on_stored_object(&object, *version),
+                    Err(fault) => self.on_invalid_object(&fault, now),
                 }
             }
         }
     }
 
-    fn on_invalid(&mut self, fault: &Error, now: timer::Moment) -> Vec<ConfigAction> {
-        self.read_at = Some(now.plus(FIRST_READ_MS));
+    fn on_invalid_object(&mut self, fault: &Error, now: timer::Moment) -> Vec<ConfigAction> {
+        self.next_read_at = Some(now.plus(INITIAL_READ_INTERVAL_MS));
         let answer = self
             .active
             .take()
@@ -223,7 +231,7 @@
         answer.into_iter().collect()
     }
 
-    fn on_object(&mut self, object: &ConfigObject, version: u64) -> Vec<ConfigAction> {
+    fn on_stored_object(&mut self, object: &ConfigObject, version: u64) -> Vec<ConfigAction> {
         let mut actions = self.install(object);
         let done = self
             .active
@@ -253,7 +261,7 @@
             .expected_generation
             .is_some_and(|expected| expected != generation)
         {
-            let detail = format!("generation {generation} is in force");
+            let detail = format!("the active generation is {generation}");
             Err(Error::with_code(ResultCode::GenerationConflict, detail))
         } else {
             ConfigObject::with_change(before, &request.change, &request.operation)
@@ -261,7 +269,7 @@
         };
         match outcome {
             Ok(bytes) => {
-                change.written = true;
+                change.write_sent = true;
                 self.state = ConfigState::Writing;
                 vec![ConfigAction::Write {
                     bytes,
@@ -276,29 +284,29 @@
         }
     }
 
-    /// A write ended. Whatever came of it, the object itself tells: it is read again, and the
-    /// operation id in it says whether the change took effect.
+    /// Handles the result of a write. The object is always read again, because the operation ids
+    /// in it show whether the change took effect.
     pub fn on_write(&mut self, result: WriteResult, now: timer::Moment) -> Vec<ConfigAction> {
         if self.state != ConfigState::Writing {
             return Vec::new();
         }
         self.state = ConfigState::Reading;
         self.platform_failed = result == WriteResult::Uncertain;
-        self.read_at = None;
+        self.next_read_at = None;
         let mut actions = self.expire(now);
         actions.push(ConfigAction::Read);
         actions
     }
 
-    /// A watch or a peer brought an object.
+    /// Installs a configuration received through a watch or from a peer, if it is newer.
     pub fn on_offer(&mut self, object: &ConfigObject) -> Vec<ConfigAction> {
-        self.fetching = None;
+        self.fetch_started_at = None;
         self.install(object)
     }
 
-    /// A fetch from a peer failed.
+    /// Handles a failed fetch from a peer.
     pub const fn on_fetch_failed(&mut self) {
-        self.fetching = None;
+        self.fetch_started_at = None;
     }
 
     fn install(&mut self, object: &ConfigObject) -> Vec<ConfigAction> {
@@ -306,16 +314,17 @@
             return Vec::new();
         }
         self.installed = Some(object.clone());
-        self.offers.clear();
+        self.peer_generations.clear();
         vec![ConfigAction::Install(object.clone())]
     }
 
-    /// A peer said which generation it has in force. `peers` is the number of other hosts that
-    /// this one knows and believes alive.
+    /// Handles a peer's report of its active generation. `peers` is the number of other hosts
+    /// that this one knows and considers alive.
     ///
-    /// A host that holds a generation takes any higher one. A host that holds nothing asks the
-    /// platform; while that is down it waits until more than half of its peers have answered, so
-    /// that a single stale peer, cut off earlier, can't decide what comes into force.
+    /// A host with a configuration fetches any higher generation. A host without one reads the
+    /// platform. While the platform is down, it waits until more than half of its peers have
+    /// reported, so that a single stale peer that was cut off cannot determine the active
+    /// configuration.
     pub fn on_peer_generation(
         &mut self,
         peer: &str,
@@ -323,30 +332,30 @@
         peers: usize,
         now: timer::Moment,
     ) -> Vec<ConfigAction> {
-        const FETCH_LIFE_MS: u64 = 1_000;
+        const FETCH_TIMEOUT_MS: u64 = 1_000;
         if generation <= self.generation() {
             if self.installed.is_none() {
-                self.offers.insert(peer.to_owned(), generation);
+                self.peer_generations.insert(peer.to_owned(), generation);
             }
             return Vec::new();
         }
         if self
-            .fetching
-            .is_some_and(|since| now.since(since) < FETCH_LIFE_MS)
+            .fetch_started_at
+            .is_some_and(|since| now.since(since) < FETCH_TIMEOUT_MS)
         {
             return Vec::new();
         }
         if self.installed.is_some() {
-            self.fetching = Some(now);
+            self.fetch_started_at = Some(now);
             return vec![ConfigAction::Fetch(peer.to_owned())];
         }
-        self.offers.insert(peer.to_owned(), generation);
-        let enough = self.platform_failed && self.offers.len() * 2 > peers;
-        let best = self.offers.values().copied().max() == Some(generation);
-        if !enough || !best {
+        self.peer_generations.insert(peer.to_owned(), generation);
+        let can_trust_peers = self.platform_failed && self.peer_generations.len() * 2 > peers;
+        let is_highest = self.peer_generations.values().copied().max() == Some(generation);
+        if !can_trust_peers || !is_highest {
             return Vec::new();
         }
-        self.fetching = Some(now);
+        self.fetch_started_at = Some(now);
         vec![ConfigAction::Fetch(peer.to_owned())]
     }
 }
@@ -369,8 +378,8 @@
     })
 }
 
-fn give_up(change: &ActiveChange) -> ConfigAction {
-    let code = if change.written {
+fn time_out(change: &ActiveChange) -> ConfigAction {
+    let code = if change.write_sent {
         ResultCode::ApplyUncertain
     } else {
         ResultCode::PlatformUnavailable
@@ -378,6 +387,6 @@
     refuse(
         change.request.ticket,
         code,
-        "the platform did not answer in time",
+        "the platform did not respond in time",
     )
 }
