--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,8 +1,9 @@
-//! The membership role: hosts watch each other by heartbeats to a bounded set of peers.
+//! The membership role: failure detection by heartbeats to a bounded set of peers.
 //!
-//! In the manner of SWIM (Das, Gupta and Motivala, 2002): a silent host is suspected first and
-//! may refute; changes spread as rumors on the heartbeats, so that a host's traffic does not grow
-//! with their number. Memory: one record for each host, at most [`MAX_MEMBERS`].
+//! Based on SWIM (Das, Gupta and Motivala, 2002). A host that does not answer is suspected first
+//! and may refute the suspicion. Changes spread as rumors on heartbeats, so that the traffic of
+//! one host does not grow with the number of hosts. Memory: one record for each host, at most
+//! [`MAX_MEMBERS`].
 
 use std::{collections, net};
 
@@ -12,46 +13,46 @@
 use crate::event::EventCode;
 use crate::{member, timer};
 
-/// Time between two rounds of heartbeats.
+/// Interval between two rounds of heartbeats.
 pub const HEARTBEAT_MS: u64 = 500;
-/// The most hosts that are remembered.
+/// Maximum number of remembered hosts.
 pub const MAX_MEMBERS: usize = 2_000;
-/// The most records on one heartbeat or its answer.
+/// Maximum number of records on one heartbeat or its response, except in a full exchange.
 pub const MAX_RUMORS: usize = 12;
-/// Next hosts in the order of names that a host watches.
+/// Number of successors in the order of names that a host sends heartbeats to.
 const WATCHED_SUCCESSORS: usize = 3;
-/// Unanswered heartbeats that make a host suspect.
-const MISSED_LIMIT: u32 = 3;
-/// How long a suspect may refute.
-const SUSPICION_MS: u64 = 2_000;
-/// How long a dead host is remembered, so that old rumors do not revive it.
-const DEAD_MEMORY_MS: u64 = 600_000;
-/// A host that heard nobody for this long counts itself as cut off from its peers.
-const CUT_OFF_MS: u64 = 3_000;
-/// A whole exchange of records happens this often.
-const FULL_SYNC_MS: u64 = 30_000;
+/// Number of unanswered heartbeats since the last contact after which a host is suspected.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// Time in which a suspected host may refute the suspicion before it counts as dead.
+const SUSPICION_TIMEOUT_MS: u64 = 2_000;
+/// Time that a dead host's record is retained, so that old rumors do not revive the host.
+const DEAD_RETENTION_MS: u64 = 600_000;
+/// Time without any contact after which a host considers itself cut off from its peers.
+const CUT_OFF_TIMEOUT_MS: u64 = 3_000;
+/// Interval between full exchanges of records.
+const FULL_SYNC_INTERVAL_MS: u64 = 30_000;
 
 #[derive(Debug, Clone)]
 struct MemberEntry {
     record: member::MemberRecord,
-    since: timer::Moment,
-    missed: u32,
+    state_since: timer::Moment,
+    missed_heartbeats: u32,
 }
 
 #[derive(Debug, Clone)]
 struct RumorEntry {
     name: String,
-    left: u32,
+    remaining_sends: u32,
 }
 
-/// A heartbeat that the role wants sent.
+/// The target of a heartbeat to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeartbeatTarget {
     /// The host, if its name is known yet.
     pub name: Option<String>,
     /// Its control address.
     pub address: net::SocketAddr,
-    /// Whether all records are asked for.
+    /// Whether to exchange all records.
     pub full: bool,
 }
 
@@ -64,13 +65,13 @@
     seeds: Vec<net::SocketAddr>,
     random: rand::rngs::SmallRng,
     last_contact: timer::Moment,
-    last_full: Option<timer::Moment>,
+    last_full_sync: Option<timer::Moment>,
     changed: bool,
-    news: Vec<(EventCode, String)>,
+    events: Vec<(EventCode, String)>,
 }
 
 impl MembershipRole {
-    /// A host that knows only itself and the addresses to try first.
+    /// A role that knows only its own host and the addresses to contact first.
     #[must_use]
     pub fn new(
         me: member::MemberRecord,
@@ -89,9 +90,9 @@
             seeds,
             random: rand::rngs::SmallRng::seed_from_u64(seed),
             last_contact: now,
-            last_full: None,
+            last_full_sync: None,
             changed: true,
-            news: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -101,14 +102,14 @@
         &self.me
     }
 
-    /// All records, this host's own among them.
+    /// All records, including this host's own.
     #[must_use]
     pub fn records(&self) -> Vec<member::MemberRecord> {
         let others = self.members.values().map(|entry| entry.record.clone());
         std::iter::once(self.me.clone()).chain(others).collect()
     }
 
-    /// Hosts that are neither dead nor leaving, this one among them unless it leaves.
+    /// Records of all hosts that are neither dead nor leaving, including this host's own.
     #[must_use]
     pub fn offered(&self) -> Vec<member::MemberRecord> {
         self.records()
@@ -131,12 +132,12 @@
         std::mem::replace(&mut self.changed, false)
     }
 
-    /// What changed, as events for the log.
+    /// Takes the state changes since the last call, as events for the log.
     pub fn take_news(&mut self) -> Vec<(EventCode, String)> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
-    fn note_news(&mut self, name: &str) {
+    fn queue_event(&mut self, name: &str) {
         let Some(entry) = self.members.get(name) else {
             return;
         };
@@ -146,12 +147,12 @@
             member::HostState::Suspect => EventCode::MemberSuspected,
             member::HostState::Dead => EventCode::MemberDied,
         };
-        if self.news.len() < MAX_MEMBERS {
-            self.news.push((code, name.to_owned()));
+        if self.events.len() < MAX_MEMBERS {
+            self.events.push((code, name.to_owned()));
         }
     }
 
-    /// Marks this host as leaving; a drain that is lifted brings it back.
+    /// Marks this host as leaving, or as live again when its drain ends.
     pub fn set_leaving(&mut self, leaving: bool) {
         let state = if leaving {
             member::HostState::Leaving
@@ -162,11 +163,11 @@
             self.me.state = state;
             self.me.refutation += 1;
             self.changed = true;
-            self.spread(&self.me.identity.name.clone());
+            self.spread_rumor(&self.me.identity.name.clone());
         }
     }
 
-    /// Adds addresses to try, such as those of the platform's list.
+    /// Adds addresses to contact, such as those of the platform's host list.
     pub fn add_seeds(&mut self, addresses: impl Iterator<Item = net::SocketAddr>) {
         for address in addresses {
             let known = address == self.me.control_address || self.seeds.contains(&address);
@@ -176,52 +177,53 @@
         }
     }
 
-    /// Whether no peer was heard for a while, though there should be some.
+    /// Whether this host should have peers but had no recent contact with any.
     #[must_use]
     pub fn is_cut_off(&self, now: timer::Moment) -> bool {
         let expects_peers = !self.seeds.is_empty() || !self.members.is_empty();
-        expects_peers && now.since(self.last_contact) > CUT_OFF_MS
+        expects_peers && now.since(self.last_contact) > CUT_OFF_TIMEOUT_MS
     }
 
-    /// Lets time pass; returns whom to send heartbeats to.
+    /// Expires suspicions and returns the targets of this round's heartbeats.
     pub fn tick(&mut self, now: timer::Moment) -> Vec<HeartbeatTarget> {
-        self.bury(now);
+        self.expire_members(now);
         let full = self
-            .last_full
-            .is_none_or(|last| now.since(last) >= FULL_SYNC_MS);
-        let mut targets = self.watched();
+            .last_full_sync
+            .is_none_or(|last| now.since(last) >= FULL_SYNC_INTERVAL_MS);
+        let mut targets = self.successors();
         targets.extend(self.random_target(&targets));
         targets.extend(self.seed_target(&targets));
         if full && let Some(first) = targets.first_mut() {
             first.full = true;
-            self.last_full = Some(now);
+            self.last_full_sync = Some(now);
         }
         targets
     }
 
-    /// Suspects that did not refute are dead; long dead ones are forgotten.
-    fn bury(&mut self, now: timer::Moment) {
+    /// Marks suspects that did not refute in time as dead and removes old records of dead hosts.
+    fn expire_members(&mut self, now: timer::Moment) {
         let mut died = Vec::new();
         for (name, entry) in &mut self.members {
-            let age = now.since(entry.since);
-            if entry.record.state == member::HostState::Suspect && age >= SUSPICION_MS {
+            let age = now.since(entry.state_since);
+            if entry.record.state == member::HostState::Suspect && age >= SUSPICION_TIMEOUT_MS {
                 entry.record.state = member::HostState::Dead;
-                entry.since = now;
+                entry.state_since = now;
                 died.push(name.clone());
             }
         }
         self.members.retain(|_, entry| {
-            entry.record.state != member::HostState::Dead || now.since(entry.since) < DEAD_MEMORY_MS
+            entry.record.state != member::HostState::Dead
+                || now.since(entry.state_since) < DEAD_RETENTION_MS
         });
         for name in died {
             self.changed = true;
-            self.note_news(&name);
-            self.spread(&name);
+            self.queue_event(&name);
+            self.spread_rumor(&name);
         }
     }
 
-    /// The next hosts in the ring of names, which this host watches.
-    fn watched(&self) -> Vec<HeartbeatTarget> {
+    /// The next hosts in the ring of names, which this host monitors.
+    fn successors(&self) -> Vec<HeartbeatTarget> {
         let after = self.members.range::<str, _>((
             std::ops::Bound::Excluded(self.me.identity.name.as_str()),
             std::ops::Bound::Unbounded,
@@ -236,7 +238,7 @@
                 break;
             }
             if entry.record.state != member::HostState::Dead {
-                targets.push(target_of(&entry.record));
+                targets.push(heartbeat_target(&entry.record));
             }
         }
         targets
@@ -258,17 +260,17 @@
         let position = self.random.random_range(0..candidates.len());
         candidates
             .get(position)
-            .map(|entry| target_of(&entry.record))
+            .map(|entry| heartbeat_target(&entry.record))
     }
 
-    /// One address that belongs to no live member: a host not met yet, or one lost before.
+    /// One random address without a live member: a host not discovered yet, or a dead one.
     fn seed_target(&mut self, chosen: &[HeartbeatTarget]) -> Option<HeartbeatTarget> {
-        let mut candidates = self.lost_addresses();
+        let mut candidates = self.dead_addresses();
         candidates.extend(
             self.seeds
                 .iter()
                 .copied()
-                .filter(|&address| !self.is_live(address)),
+                .filter(|&address| !self.is_known_alive(address)),
         );
         candidates.retain(|&address| !chosen.iter().any(|target| target.address == address));
         if candidates.is_empty() {
@@ -282,14 +284,15 @@
         })
     }
 
-    fn is_live(&self, address: net::SocketAddr) -> bool {
+    fn is_known_alive(&self, address: net::SocketAddr) -> bool {
         self.members.values().any(|entry| {
             entry.record.control_address == address && entry.record.state != member::HostState::Dead
         })
     }
 
-    /// Addresses of dead hosts: a cut between regions ends some time, and nobody else may know.
-    fn lost_addresses(&self) -> Vec<net::SocketAddr> {
+    /// Addresses of dead hosts. They are contacted again because a network partition may have
+    /// ended without any other host noticing.
+    fn dead_addresses(&self) -> Vec<net::SocketAddr> {
         let dead = self
             .members
             .values()
@@ -297,7 +300,7 @@
         dead.map(|entry| entry.record.control_address).collect()
     }
 
-    /// The records to put on a heartbeat or its answer.
+    /// The records to attach to a heartbeat or its response.
     pub fn rumors_for(&mut self, peer: Option<&str>, full: bool) -> Vec<member::MemberRecord> {
         if full {
             return self.records().into_iter().take(MAX_MEMBERS).collect();
@@ -315,15 +318,15 @@
             if let Some(record) = self.record(&rumor.name) {
                 records.push(record.clone());
             }
-            rumor.left = rumor.left.saturating_sub(1);
-            if rumor.left > 0 {
+            rumor.remaining_sends = rumor.remaining_sends.saturating_sub(1);
+            if rumor.remaining_sends > 0 {
                 self.rumors.push_back(rumor);
             }
         }
         records
     }
 
-    /// A peer was heard directly: its own record and what it passed on.
+    /// Handles a message from a peer: its own record and the records that it forwarded.
     pub fn on_contact(
         &mut self,
         peer: &member::MemberRecord,
@@ -331,80 +334,80 @@
         now: timer::Moment,
     ) {
         self.last_contact = now;
-        self.learn(peer, now);
+        self.merge(peer, now);
         if let Some(entry) = self.members.get_mut(&peer.identity.name) {
-            entry.missed = 0;
+            entry.missed_heartbeats = 0;
         }
         for record in rumors.iter().take(MAX_MEMBERS) {
-            self.learn(record, now);
+            self.merge(record, now);
         }
     }
 
-    /// A heartbeat to this peer got no answer.
+    /// Counts an unanswered heartbeat to a peer and suspects the peer after too many.
     pub fn on_missed(&mut self, name: &str, now: timer::Moment) {
         let Some(entry) = self.members.get_mut(name) else {
             return;
         };
-        entry.missed += 1;
+        entry.missed_heartbeats += 1;
         let alive = entry.record.state < member::HostState::Suspect;
-        if entry.missed >= MISSED_LIMIT && alive {
+        if entry.missed_heartbeats >= MAX_MISSED_HEARTBEATS && alive {
             entry.record.state = member::HostState::Suspect;
-            entry.since = now;
+            entry.state_since = now;
             self.changed = true;
-            self.note_news(name);
-            self.spread(name);
+            self.queue_event(name);
+            self.spread_rumor(name);
         }
     }
 
-    fn learn(&mut self, record: &member::MemberRecord, now: timer::Moment) {
+    fn merge(&mut self, record: &member::MemberRecord, now: timer::Moment) {
         if record.identity.name == self.me.identity.name {
             self.refute(record);
             return;
         }
         let name = record.identity.name.clone();
-        let has_room = self.members.len() < MAX_MEMBERS;
+        let has_capacity = self.members.len() < MAX_MEMBERS;
         match self.members.get_mut(&name) {
             Some(entry) if record.overrides(&entry.record) => {
                 entry.record = record.clone();
-                entry.since = now;
-                entry.missed = 0;
+                entry.state_since = now;
+                entry.missed_heartbeats = 0;
             }
-            None if has_room => {
+            None if has_capacity => {
                 let entry = MemberEntry {
                     record: record.clone(),
-                    since: now,
-                    missed: 0,
+                    state_since: now,
+                    missed_heartbeats: 0,
                 };
                 self.members.insert(name.clone(), entry);
             }
             Some(_) | None => return,
         }
         self.changed = true;
-        self.note_news(&name);
-        self.spread(&name);
+        self.queue_event(&name);
+        self.spread_rumor(&name);
     }
 
-    /// Others believe something worse of this run than is true: say so louder.
+    /// Refutes a record that gives this incarnation a worse state, with a higher counter.
     fn refute(&mut self, record: &member::MemberRecord) {
         if record.identity.incarnation == self.me.identity.incarnation && record.overrides(&self.me)
         {
             self.me.refutation = record.refutation.saturating_add(1);
-            self.spread(&self.me.identity.name.clone());
+            self.spread_rumor(&self.me.identity.name.clone());
         }
     }
 
-    fn spread(&mut self, name: &str) {
+    fn spread_rumor(&mut self, name: &str) {
         let count = u32::try_from(self.members.len() + 2).unwrap_or(u32::MAX);
-        let left = 4 * count.ilog2().max(1);
+        let remaining_sends = 4 * count.ilog2().max(1);
         self.rumors.retain(|rumor| rumor.name != name);
         self.rumors.push_front(RumorEntry {
             name: name.to_owned(),
-            left,
+            remaining_sends,
         });
     }
 }
 
-fn target_of(record: &member::MemberRecord) -> HeartbeatTarget {
+fn heartbeat_target(record: &member::MemberRecord) -> HeartbeatTarget {
     HeartbeatTarget {
         name: Some(record.identity.name.clone()),
         address: record.control_address,
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -1,7 +1,7 @@
-//! The platform's list of hosts: the authority on which machines are gone.
+//! The platform's host list, which is authoritative on which machines were removed.
 //!
-//! The list lags, so a host counts as gone only when a version of the list that is newer than the
-//! one that showed it last does not show it.
+//! The list lags behind, so a host counts as removed only when it is missing from a version newer
+//! than the last one that contained it.
 
 use std::{collections, net};
 
@@ -11,13 +11,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It runs.
+    /// It is running.
     Live,
-    /// It is to be stopped.
+    /// It is going to be stopped.
     Leaving,
 }
 
-/// What a listed host runs.
+/// The kind of process that a listed host runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedRole {
@@ -27,31 +27,31 @@
     Server,
 }
 
-/// One host of the list.
+/// One entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedHost {
     /// Its name.
     pub name: String,
-    /// What it runs.
+    /// The kind of process that it runs.
     pub role: ListedRole,
-    /// The control address of an entry host, the address of a backend server.
+    /// The control address of an entry host, or the address of a backend server.
     pub control_address: net::SocketAddr,
     /// Its state.
     pub state: ListedState,
 }
 
-/// One version of the platform's list.
+/// One version of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostList {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
     /// The hosts.
     pub hosts: Vec<ListedHost>,
 }
 
-/// The newest list seen.
+/// The newest host list received.
 #[derive(Debug, Default)]
 pub struct HostRoster {
     version: u64,
@@ -59,7 +59,7 @@
 }
 
 impl HostRoster {
-    /// Takes a list unless a newer one was seen. Memory: one entry a listed host.
+    /// Applies a list unless a newer one was received. Memory: one entry for each listed host.
     pub fn update(&mut self, list: HostList) {
         if list.version < self.version {
             return;
@@ -72,19 +72,19 @@
             .collect();
     }
 
-    /// The version in which the host is shown under this address, if it is.
+    /// The current version, if it lists the host under this address.
     #[must_use]
     pub fn listed_version(&self, host: &plan::PlanHost) -> Option<u64> {
-        self.shows(host).then_some(self.version)
+        self.contains(host).then_some(self.version)
     }
 
-    /// Whether the list has dropped the host after showing it.
+    /// Whether the list contained the host earlier and no longer does.
     #[must_use]
     pub fn is_gone(&self, host: &plan::PlanHost) -> bool {
-        host.listed_at > 0 && self.version > host.listed_at && !self.shows(host)
+        host.listed_at > 0 && self.version > host.listed_at && !self.contains(host)
     }
 
-    /// Whether the list calls the named host leaving.
+    /// Whether the list marks the named host as leaving.
     #[must_use]
     pub fn is_leaving(&self, name: &str) -> bool {
         self.hosts
@@ -92,7 +92,7 @@
             .is_some_and(|host| host.state == ListedState::Leaving)
     }
 
-    /// Control addresses of all listed entry hosts; backend servers get no messages of peers.
+    /// Control addresses of all listed entry hosts, without backend servers, which are not peers.
     pub fn addresses(&self) -> impl Iterator<Item = net::SocketAddr> + '_ {
         let entries = self
             .hosts
@@ -101,7 +101,7 @@
         entries.map(|host| host.control_address)
     }
 
-    fn shows(&self, host: &plan::PlanHost) -> bool {
+    fn contains(&self, host: &plan::PlanHost) -> bool {
         self.hosts
             .get(&host.identity.name)
             .is_some_and(|listed| listed.control_address == host.control_address)
