--- a/src/control_shell.rs
+++ b/src/control_shell.rs
@@ -1,4 +1,4 @@
-//! The control thread: feeds the controller and carries out what it decides.
+//! The control thread: passes inputs to the controller and executes the resulting actions.
 
 use std::sync::atomic;
 use std::{collections, sync};
@@ -17,40 +17,40 @@
 use crate::timer::{self, BootClock};
 use crate::worker::WorkerOrder;
 
-/// A worker's ring, and the newest order of each kind that found it full.
+/// A worker's ring and the orders that did not fit into it, only the newest of each kind.
 #[derive(Debug)]
 pub(crate) struct WorkerPort {
     pub(crate) ring: RingSender<WorkerOrder>,
-    held: collections::VecDeque<WorkerOrder>,
+    unsent: collections::VecDeque<WorkerOrder>,
 }
 
 impl WorkerPort {
-    /// A port with nothing held back.
+    /// A port without unsent orders.
     pub(crate) const fn with_ring(ring: RingSender<WorkerOrder>) -> Self {
         Self {
             ring,
-            held: collections::VecDeque::new(),
+            unsent: collections::VecDeque::new(),
         }
     }
 
     fn send(&mut self, order: WorkerOrder) {
-        self.held
-            .retain(|held| std::mem::discriminant(held) != std::mem::discriminant(&order));
-        self.held.push_back(order);
+        self.unsent
+            .retain(|unsent| std::mem::discriminant(unsent) != std::mem::discriminant(&order));
+        self.unsent.push_back(order);
         self.flush();
     }
 
     fn flush(&mut self) {
-        while let Some(order) = self.held.pop_front() {
+        while let Some(order) = self.unsent.pop_front() {
             if let Err(RingFault::Full(order)) = self.ring.push(order) {
-                self.held.push_front(order);
+                self.unsent.push_front(order);
                 return;
             }
         }
     }
 }
 
-/// The control thread: feeds the controller and carries out its actions.
+/// The state of the control thread.
 pub(crate) struct ControlShell {
     pub(crate) controller: HostController,
     pub(crate) clock: BootClock,
@@ -65,23 +65,24 @@
 }
 
 impl ControlShell {
-    /// Runs until the controller has finished or all ports are gone.
+    /// Runs until the controller has finished or all senders are dropped.
     pub(crate) async fn run(mut self, envelopes: RingReceiver<ControlEnvelope>) {
         while let Some(envelope) = envelopes.pop().await {
             if let Some(waiting) = envelope.waiting {
                 self.waiting.insert(waiting.ticket, waiting.sender);
             }
-            if self.feed(envelope.input) {
+            if self.handle(envelope.input) {
                 break;
             }
         }
         self.timer_stop.store(true, atomic::Ordering::Relaxed);
-        // The receivers are the threads that this stops.
-        let _gone = self.stop.send(true);
+        // Sending fails only if the receiving threads have already stopped.
+        let _ignored = self.stop.send(true);
     }
 
-    /// Returns whether the process is to stop.
-    fn feed(&mut self, input: ControlInput) -> bool {
+    /// Handles an input and all inputs that result from it; returns whether the process should
+    /// stop.
+    fn handle(&mut self, input: ControlInput) -> bool {
         let mut inputs = collections::VecDeque::from([input]);
         let mut finished = false;
         while let Some(input) = inputs.pop_front() {
@@ -90,7 +91,7 @@
                 .handle(input, self.clock.now(), timer::unix_millis());
             for action in actions {
                 finished |= matches!(action, ControlAction::Finished);
-                inputs.extend(self.perform(action));
+                inputs.extend(self.execute(action));
             }
         }
         for worker in &mut self.workers {
@@ -99,38 +100,42 @@
         finished
     }
 
-    /// Carries out one action; what could not even be queued comes back as a failure.
-    fn perform(&mut self, action: ControlAction) -> Option<ControlInput> {
+    /// Executes one action. Returns a failure input if a message to a peer could not be queued.
+    fn execute(&mut self, action: ControlAction) -> Option<ControlInput> {
         match action {
             ControlAction::Platform(purpose, call) => return self.call_platform(purpose, call),
             ControlAction::SendHeartbeat(target, heartbeat) => {
-                return self.tell_peer(PeerMessage::Heartbeat(target, heartbeat));
+                return self.send_to_peer(PeerMessage::Heartbeat(target, heartbeat));
             }
             ControlAction::SendReport(address, report) => {
-                return self.tell_peer(PeerMessage::Report(address, report));
+                return self.send_to_peer(PeerMessage::Report(address, report));
             }
             ControlAction::SendFetch(address) => {
-                return self.tell_peer(PeerMessage::Fetch(address));
+                return self.send_to_peer(PeerMessage::Fetch(address));
             }
             ControlAction::SendClaim(ticket, address, claim) => {
-                return self.tell_peer(PeerMessage::Claim(ticket, address, claim));
+                return self.send_to_peer(PeerMessage::Claim(ticket, address, claim));
             }
             ControlAction::SendSettle(address, settle) => {
-                return self.tell_peer(PeerMessage::Settle(address, settle));
+                return self.send_to_peer(PeerMessage::Settle(address, settle));
             }
             ControlAction::InstallTopology(topology) => {
-                self.order_all(&WorkerOrder::Topology(topology));
+                self.send_to_workers(&WorkerOrder::Topology(topology));
+            }
+            ControlAction::InstallLookup(lookup) => {
+                self.send_to_workers(&WorkerOrder::Lookup(lookup))
             }
-            ControlAction::InstallLookup(lookup) => self.order_all(&WorkerOrder::Lookup(lookup)),
             ControlAction::InstallGrants(grants) => self.install_grants(&grants),
-            ControlAction::SetLeaving(leaving) => self.order_all(&WorkerOrder::Leaving(leaving)),
+            ControlAction::SetLeaving(leaving) => {
+                self.send_to_workers(&WorkerOrder::Leaving(leaving))
+            }
             ControlAction::SetLeavingServers(names) => {
-                self.order_all(&WorkerOrder::LeavingServers(names));
+                self.send_to_workers(&WorkerOrder::LeavingServers(names));
             }
             ControlAction::Answer(ticket, answer) => {
                 if let Some(sender) = self.waiting.remove(&ticket) {
-                    // Whoever went away needs no answer.
-                    let _gone = sender.send(answer);
+                    // Sending fails only if the waiting call was dropped.
+                    let _ignored = sender.send(answer);
                 }
             }
             ControlAction::Event(code, detail) => self.events.write(code, detail),
@@ -145,37 +150,38 @@
             Ok(()) => None,
             Err(RingFault::Full(purposed) | RingFault::Closed(purposed)) => {
                 let reply = purposed.failure();
-                // Fed back over the ring, so that a role that tries at once can't loop here.
-                let _taken = self.control.tell(ControlInput::Platform(purpose, reply));
+                // Send the failure through the ring. Handling it here would loop if the role
+                // retries immediately.
+                let _ignored = self.control.tell(ControlInput::Platform(purpose, reply));
                 None
             }
         }
     }
 
-    fn tell_peer(&self, message: PeerMessage) -> Option<ControlInput> {
+    fn send_to_peer(&self, message: PeerMessage) -> Option<ControlInput> {
         match self.peers.push(message) {
             Ok(()) => None,
             Err(RingFault::Full(message) | RingFault::Closed(message)) => message.into_failure(),
         }
     }
 
-    fn order_all(&mut self, order: &WorkerOrder) {
+    fn send_to_workers(&mut self, order: &WorkerOrder) {
         for worker in &mut self.workers {
             worker.send(order.clone());
         }
     }
 
-    /// Splits the host's grants over its workers; the slices add up to the grant.
+    /// Splits the host's grants among its workers. The slices add up to the grant.
     fn install_grants(&mut self, grants: &HostGrants) {
         let count = u32::try_from(self.workers.len()).unwrap_or(1).max(1);
-        for (number, worker) in self.workers.iter_mut().enumerate() {
-            let number = u32::try_from(number).unwrap_or(0);
+        for (index, worker) in self.workers.iter_mut().enumerate() {
+            let index = u32::try_from(index).unwrap_or(0);
             let slices = grants.grants.iter().map(|grant| PlaceGrant {
                 key: grant.key.clone(),
-                units: grant.units / count + u32::from(number < grant.units % count),
+                units: grant.units / count + u32::from(index < grant.units % count),
                 offset: grant.offset
-                    + number * (grant.units / count)
-                    + number.min(grant.units % count),
+                    + index * (grant.units / count)
+                    + index.min(grant.units % count),
             });
             worker.send(WorkerOrder::Grants(HostGrants {
                 sequence: grants.sequence,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one entry host: JSON with comments, checked as a whole.
+//! The settings of one entry host, read from JSON with comments. All faults are reported at once.
 
 use std::{net, path};
 
@@ -16,33 +16,33 @@
 pub struct HostSettings {
     /// The host's name, unique among entry hosts.
     pub name: String,
-    /// The hall that it stands in.
+    /// The hall that it is in.
     pub hall: String,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub caller_address: net::SocketAddr,
-    /// Where operators and peers reach it.
+    /// Listen address for operators and peers.
     pub control_address: net::SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform_address: net::SocketAddr,
-    /// Control addresses of some other entry hosts, to meet the rest through.
+    /// Control addresses of some other entry hosts, used to discover the rest.
     pub peers: Vec<net::SocketAddr>,
-    /// The token that operators present.
+    /// The bearer token of operators.
     pub operator_token: String,
-    /// The token that entry hosts present to each other.
+    /// The bearer token of entry hosts among each other.
     pub peer_token: String,
-    /// Addresses whose `x-ledgespool-caller` header is believed.
+    /// Addresses whose `x-ledgespool-caller` header is trusted.
     pub trusted_forwarders: Vec<net::IpAddr>,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub workers: u32,
-    /// The largest request body in bytes; it is held in memory.
+    /// Maximum size of a request body in bytes; bodies are buffered in memory.
     pub max_body_bytes: u32,
-    /// Connections that each listener accepts per thread.
+    /// Maximum number of connections per listener and thread.
     pub max_connections: u32,
-    /// Where metrics go (statsd over UDP); none by default.
+    /// Address that metrics are sent to (statsd over UDP); none by default.
     pub metrics_address: Option<net::SocketAddr>,
-    /// Which decisions the workers take; anything but the default is for measurements.
+    /// The steering policy of the workers; any other than the default is for measurements only.
     pub policy: SteeringPolicy,
-    /// Seed of all random choices; 0 takes one from the clock.
+    /// Seed of the random number generators; 0 derives it from the clock.
     pub seed: u32,
 }
 
@@ -54,7 +54,7 @@
     from_source(&source::SourceText::from_file(file)?)
 }
 
-/// Reads settings from text.
+/// Reads settings from a source text.
 ///
 /// # Errors
 /// `Rejected` with every fault.
--- a/src/token.rs
+++ b/src/token.rs
@@ -1,17 +1,17 @@
-//! Who calls the control listener, told by the bearer token.
+//! Authenticates callers of the control listener by bearer token.
 
 use crate::settings;
 
-/// The right that a token gives.
+/// The role that a token grants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerRole {
-    /// May call the operators' methods.
+    /// May call the methods for operators.
     Operator,
-    /// May call the peers' methods.
+    /// May call the methods for peers.
     Peer,
 }
 
-/// The tokens of a host.
+/// The operator token and the peer token of a host.
 #[derive(Debug, Clone)]
 pub struct TokenPair {
     operator: String,
@@ -28,20 +28,20 @@
         }
     }
 
-    /// The role of a request; `None` without a valid token.
+    /// The role of a request's caller; `None` without a valid token.
     #[must_use]
     pub fn role_of(&self, headers: &http::HeaderMap) -> Option<CallerRole> {
         let header = headers.get(http::header::AUTHORIZATION)?.as_bytes();
         let token = header.strip_prefix(b"Bearer ")?;
-        if is_equal(token, self.operator.as_bytes()) {
+        if constant_time_eq(token, self.operator.as_bytes()) {
             return Some(CallerRole::Operator);
         }
-        is_equal(token, self.peer.as_bytes()).then_some(CallerRole::Peer)
+        constant_time_eq(token, self.peer.as_bytes()).then_some(CallerRole::Peer)
     }
 }
 
-/// Compares without telling by its time where the difference is.
-fn is_equal(left: &[u8], right: &[u8]) -> bool {
+/// Compares in a time that does not depend on where the inputs differ, against timing attacks.
+fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     let mut difference = left.len() ^ right.len();
     for (left, right) in left.iter().zip(right) {
         difference |= usize::from(left ^ right);
