--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never goes back.
+//! An accepted configuration becomes active on all hosts within seconds and never regresses.
 
 mod common;
 
@@ -38,8 +38,8 @@
         .map(|result| result.generation)
 }
 
-async fn until_in_force(system: &System, generation: u64) {
-    common::until("the generation is in force everywhere", || async {
+async fn wait_until_active(system: &System, generation: u64) {
+    common::until("the generation is active on all hosts", || async {
         let statuses = system.statuses().await;
         statuses.len() == system.hosts.len()
             && statuses.iter().all(|status| status.in_force >= generation)
@@ -47,7 +47,7 @@
     .await;
 }
 
-/// Watches that no host ever shows a lower generation than before, until stopped.
+/// Checks until stopped that the active generation of no host ever decreases.
 struct GenerationWatch {
     stop: std::sync::Arc<std::sync::atomic::AtomicBool>,
     task: tokio::task::JoinHandle<u32>,
@@ -60,7 +60,7 @@
         let stopped = std::sync::Arc::clone(&stop);
         let task = tokio::spawn(async move {
             let mut seen = std::collections::HashMap::new();
-            let mut looks = 0;
+            let mut checks = 0;
             while !stopped.load(std::sync::atomic::Ordering::Relaxed) {
                 for control in &controls {
                     if let Some(status) = common::status(*control).await {
@@ -71,27 +71,27 @@
                         let before = seen.insert(key, status.in_force).unwrap_or(0);
                         assert!(
                             status.in_force >= before,
-                            "{} went back",
+                            "the generation of {} decreased",
                             status.host.identity.name
                         );
-                        looks += 1;
+                        checks += 1;
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            looks
+            checks
         });
         Self { stop, task }
     }
 
     async fn finish(self) {
         self.stop.store(true, std::sync::atomic::Ordering::Relaxed);
-        assert!(self.task.await.expect("no host went back") > 0);
+        assert!(self.task.await.expect("no generation decreased") > 0);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_apply_whose_answer_was_lost_counts_once() {
+async fn a_change_whose_answer_was_lost_takes_effect_once() {
     let system = System::start(SystemPlan::default()).await;
     let watch = GenerationWatch::start(&system);
     system
@@ -111,7 +111,7 @@
             .expect("the same operation"),
         2
     );
-    until_in_force(&system, 2).await;
+    wait_until_active(&system, 2).await;
     watch.finish().await;
 }
 
@@ -130,7 +130,7 @@
     assert_eq!(refused.code, ResultCode::PlatformUnavailable);
     assert!(refused.retry_after_ms.is_some());
     for status in system.statuses().await {
-        assert_eq!(status.in_force, 1, "what was in force stays");
+        assert_eq!(status.in_force, 1, "the active generation stays");
     }
     system.set_platform(PlatformFaults::default()).await;
     assert_eq!(
@@ -139,17 +139,17 @@
             .expect("accepted now"),
         2
     );
-    until_in_force(&system, 2).await;
+    wait_until_active(&system, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_host_that_restarts_with_nothing_during_an_outage_gets_the_newest_from_its_peers() {
+async fn a_host_restarted_during_an_outage_gets_the_newest_configuration_from_its_peers() {
     let mut system = System::start(SystemPlan::default()).await;
     assert_eq!(
         drain(&system, 0, "before", false).await.expect("accepted"),
         2
     );
-    until_in_force(&system, 2).await;
+    wait_until_active(&system, 2).await;
     system
         .set_platform(PlatformFaults {
             down: true,
@@ -157,16 +157,16 @@
         })
         .await;
     system.restart_host(2);
-    until_in_force(&system, 2).await;
+    wait_until_active(&system, 2).await;
     let status = common::status(system.hosts[2].control)
         .await
         .expect("a status");
-    assert!(!status.platform_ok, "the platform was down all the time");
+    assert!(!status.platform_ok, "the platform was down throughout");
 }
 
-/// One host hears neither the platform nor, while frozen, its peers; the others go on.
+/// One host reaches neither the platform nor, while frozen, its peers. The others continue.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cut_off_host_that_returns_takes_the_newest_and_offers_nobody_its_old_one() {
+async fn a_returning_host_applies_the_newest_configuration_and_spreads_no_old_one() {
     let plan = SystemPlan {
         platform_proxies: true,
         ..SystemPlan::default()
@@ -180,20 +180,20 @@
         assert_eq!(generation.expect("accepted"), 2 + number);
     }
     system.hosts[2].process.signal("-CONT");
-    until_in_force(&system, 4).await;
+    wait_until_active(&system, 4).await;
     let status = common::status(system.hosts[2].control)
         .await
         .expect("a status");
-    assert!(!status.platform_ok, "it came by its peers");
+    assert!(!status.platform_ok, "the configuration came from the peers");
     system.set_proxy(2, ProxyMode::Pass).await;
     watch.finish().await;
 }
 
 const CHANGES: u64 = 10;
 
-/// The platform is asked for a change by its halls, not by its hosts: counted at 9 hosts.
+/// The number of platform calls per change depends on the number of halls, not of hosts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn nine_hosts_in_six_halls_make_few_platform_calls_a_change() {
+async fn nine_hosts_in_six_halls_make_few_platform_calls_per_change() {
     let plan = SystemPlan {
         regions: vec![
             ("perth", vec!["perth-1", "perth-2"]),
@@ -218,28 +218,29 @@
     let began = Instant::now();
     let mut slowest = Duration::ZERO;
     for number in 0..CHANGES {
-        let asked = Instant::now();
+        let started = Instant::now();
         let generation = drain(&system, 0, &format!("count-{number}"), number % 2 == 1)
             .await
             .expect("accepted");
-        until_in_force(&system, generation).await;
-        slowest = slowest.max(asked.elapsed());
+        wait_until_active(&system, generation).await;
+        slowest = slowest.max(started.elapsed());
     }
     let after = system.platform_calls().await;
     let seconds = began.elapsed().as_secs_f64();
     let watches = (after.watches - before.watches) as f64;
     println!(
-        "10 changes in {seconds:.1} s, the slowest in force everywhere after {slowest:?}; reads {}, writes {}, watches {watches}",
+        "10 changes in {seconds:.1} s, the slowest active on all hosts after {slowest:?}; reads {}, writes {}, watches {watches}",
         after.reads - before.reads,
         after.writes - before.writes
     );
-    // One write and two reads by the host that was asked; the planner's own writes follow time.
+    // The host that handles a change makes one write and two reads. The planner's own writes depend
+    // on time.
     assert!(
         after.reads - before.reads <= CHANGES * 2 + 4,
         "reads: {before:?} {after:?}"
     );
     assert!(
         watches <= 6.0 * (CHANGES as f64 + 2.0 * seconds + 4.0),
-        "watches follow halls: {before:?} {after:?}"
+        "watches depend on halls: {before:?} {after:?}"
     );
 }
--- a/tests/promise_regions.rs
+++ b/tests/promise_regions.rs
@@ -1,4 +1,4 @@
-//! Losses of hosts and regions, and long outages of the platform.
+//! Tests of the loss of hosts and regions, and of long platform outages.
 
 mod common;
 
@@ -9,13 +9,13 @@
 use ledgespool::standin::caller;
 use ledgespool::standin::platform::PlatformFaults;
 
-async fn is_named(system: &System, asked: usize, name: &str) -> bool {
-    let answer = caller::ask(system.hosts[asked].callers, common::SERVICE, None).await;
+async fn lookup_returns(system: &System, queried: usize, name: &str) -> bool {
+    let answer = caller::ask(system.hosts[queried].callers, common::SERVICE, None).await;
     answer.is_some_and(|answer| answer.hosts.iter().any(|host| host.name == name))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn an_entry_host_killed_under_load_is_soon_named_by_nobody() {
+async fn lookups_soon_stop_returning_an_entry_host_killed_under_load() {
     let mut system = System::start(SystemPlan {
         slots: 12,
         ..SystemPlan::default()
@@ -32,21 +32,21 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     system.hosts[1].process.kill();
     let killed = Instant::now();
-    common::until("nobody names the killed host", || async {
-        !is_named(&system, 0, "entry-2").await && !is_named(&system, 2, "entry-2").await
+    common::until("no host returns the killed host", || async {
+        !lookup_returns(&system, 0, "entry-2").await && !lookup_returns(&system, 2, "entry-2").await
     })
     .await;
     println!(
-        "look-ups stopped naming the killed host after {:?}",
+        "lookups stopped returning the killed host after {:?}",
         killed.elapsed()
     );
     tokio::time::sleep(Duration::from_secs(3)).await;
     let sent = crowd.stop().await;
     let lost = common::count(&sent, None);
-    println!("{lost} of {} requests heard nothing", sent.len());
+    println!("{lost} of {} requests got no response", sent.len());
     assert!(
         common::count(&sent, Some(RequestOutcome::Answered)) > 100,
-        "work went on"
+        "requests were still answered"
     );
     assert_truthful(&sent, &system.runs().await);
 }
@@ -70,7 +70,7 @@
     system.hosts[2].process.kill();
     system.servers[1].process.signal("-STOP");
     common::until(
-        "callers of the lost region are served by the other",
+        "callers of the lost region are served by the other region",
         || async {
             let mut client = caller::CallerClient::with_entries(system.entries());
             let mut request =
@@ -96,15 +96,15 @@
     for index in 0..2 {
         assert!(
             system.server_log(index).await.peak <= 12,
-            "no hall is overrun"
+            "no hall is overloaded"
         );
     }
     assert_truthful(&sent, &system.runs().await);
 }
 
-/// More than ten times every lease of the system, compressed: the longest lease is 4 s.
+/// The outage of 41 s is more than ten times the longest lease, which is 4 s.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn the_platform_is_away_for_ten_leases_and_returns_without_a_herd() {
+async fn a_platform_outage_of_ten_leases_ends_without_a_thundering_herd() {
     let system = System::start(SystemPlan::default()).await;
     let crowd = Crowd::start(
         &system.entries(),
@@ -128,20 +128,16 @@
     let calls = (after.reads + after.writes + after.watches + after.hosts)
         - (before.reads + before.writes + before.watches + before.hosts);
     println!("calls in the first 2 s after the outage: {calls} of 3 hosts");
-    assert!(calls <= 60, "no herd: {before:?} {after:?}");
+    assert!(calls <= 60, "no thundering herd: {before:?} {after:?}");
     let sent = crowd.stop().await;
     let refused = common::count(&sent, Some(RequestOutcome::NotRun));
     assert!(
         common::count(&sent, Some(RequestOutcome::Answered)) > 500,
-        "reads went on"
-    );
-    assert_eq!(
-        common::count(&sent, None),
-        0,
-        "every caller heard something"
+        "reads were still answered"
     );
+    assert_eq!(common::count(&sent, None), 0, "every caller got a response");
     println!("{refused} of {} were refused during the outage", sent.len());
-    common::until("claims are taken again", || async {
+    common::until("claims are accepted again", || async {
         let key = common::new_key("away");
         let mut client = caller::CallerClient::with_entries(system.entries());
         client
--- a/tests/roles_config.rs
+++ b/tests/roles_config.rs
@@ -1,5 +1,5 @@
-//! The configuration role under arbitrary orders of events: generations only grow, an operation
-//! takes effect at most once, and what its operator was told is true.
+//! Tests of the configuration role with arbitrary orders of events: generations only grow, an
+//! operation takes effect at most once, and every answer to an operator is correct.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     assert!(
         role.on_peer_generation("entry-2", 4, 8, Moment(0))
             .is_empty(),
-        "an old one is not even fetched"
+        "an older generation is not fetched"
     );
     assert_eq!(
         role.on_peer_generation("entry-2", 6, 8, Moment(0)),
@@ -48,8 +48,7 @@
 }
 
 #[test]
-fn a_host_with_nothing_trusts_peers_only_when_more_than_half_have_answered_and_the_platform_is_down()
- {
+fn a_host_without_configuration_trusts_peers_only_if_most_reported_and_the_platform_is_down() {
     let mut role = ConfigRole::new();
     assert_eq!(role.tick(Moment(0)), vec![ConfigAction::Read]);
     assert!(
@@ -61,17 +60,17 @@
     assert!(
         role.on_peer_generation("entry-2", 3, 4, Moment(3))
             .is_empty(),
-        "one of four"
+        "one of four peers reported"
     );
     assert!(
         role.on_peer_generation("entry-3", 0, 4, Moment(4))
             .is_empty(),
-        "two of four, one with nothing"
+        "two of four peers reported, one without a configuration"
     );
     assert!(
         role.on_peer_generation("entry-4", 2, 4, Moment(5))
             .is_empty(),
-        "three of four, but another has a newer one"
+        "three of four peers reported, but another one has a newer generation"
     );
     assert_eq!(
         role.on_peer_generation("entry-2", 3, 4, Moment(6)),
@@ -86,42 +85,42 @@
     Answer(usize),
     LoseAnswer(usize),
     LoseCall(usize),
-    /// One host offers another what it has.
-    Offer(usize, usize),
+    /// One host sends its configuration to another.
+    Send(usize, usize),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let host = 0..HOSTS;
     prop_oneof![
-        2 => (host.clone(), 0_u8..6, any::<bool>()).prop_map(|(host, operation, expects)| Event::Change(host, operation, expects)),
+        2 => (host.clone(), 0_u8..6, any::<bool>()).prop_map(|(host, operation, is_conditional)| Event::Change(host, operation, is_conditional)),
         4 => (host.clone(), 1_u64..900).prop_map(|(host, millis)| Event::Tick(host, millis)),
         8 => host.clone().prop_map(Event::Answer),
         2 => host.clone().prop_map(Event::LoseAnswer),
         1 => host.clone().prop_map(Event::LoseCall),
-        2 => (host.clone(), host).prop_map(|(from, to)| Event::Offer(from, to)),
+        2 => (host.clone(), host).prop_map(|(from, to)| Event::Send(from, to)),
     ]
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     stored: Option<(u64, Vec<u8>)>,
-    /// Every generation that was ever stored, with the operation that made it.
+    /// Every generation that was stored, with the operation that created it.
     history: Vec<(u64, String)>,
     roles: Vec<ConfigRole>,
     calls: Vec<Vec<ConfigAction>>,
     operations: HashMap<u64, String>,
-    told: Vec<(String, u64)>,
+    answers: Vec<(String, u64)>,
     now: u64,
     ticket: u64,
 }
 
-impl World {
-    fn take(&mut self, host: usize, actions: Vec<ConfigAction>) {
+impl Simulation {
+    fn process(&mut self, host: usize, actions: Vec<ConfigAction>) {
         for action in actions {
             match action {
                 ConfigAction::Answer(answer) => {
                     if let Ok(generation) = answer.result {
-                        self.told
+                        self.answers
                             .push((self.operations[&answer.ticket].clone(), generation));
                     }
                 }
@@ -131,19 +130,19 @@
         }
     }
 
-    fn call(&mut self, host: usize, heard: bool, carried_out: bool) {
+    fn finish_call(&mut self, host: usize, answer_arrives: bool, is_executed: bool) {
         if self.calls[host].is_empty() {
             return;
         }
         let now = Moment(self.now);
         let actions = if let ConfigAction::Write { bytes, expected } = self.calls[host].remove(0) {
-            let result = if carried_out {
+            let result = if is_executed {
                 self.write(bytes, expected)
             } else {
                 WriteResult::Uncertain
             };
             self.roles[host].on_write(
-                if heard {
+                if answer_arrives {
                     result
                 } else {
                     WriteResult::Uncertain
@@ -158,21 +157,21 @@
                     bytes: bytes.clone(),
                     version: *version,
                 });
-            let result = if heard && carried_out {
+            let result = if answer_arrives && is_executed {
                 found
             } else {
                 ReadResult::Failed
             };
             self.roles[host].on_read(&result, now)
         };
-        self.take(host, actions);
+        self.process(host, actions);
     }
 
     fn write(&mut self, bytes: Vec<u8>, expected: Option<u64>) -> WriteResult {
         if self.stored.as_ref().map(|(version, _)| *version) != expected {
             return WriteResult::Conflict;
         }
-        let object = ConfigObject::from_bytes(&bytes).expect("a sound object");
+        let object = ConfigObject::from_bytes(&bytes).expect("a valid object");
         let operation = object.operations.last().expect("an operation").id.clone();
         self.history.push((object.generation, operation));
         let version = expected.unwrap_or(0) + 1;
@@ -182,34 +181,34 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Change(host, operation, expects) => {
+            Event::Change(host, operation, is_conditional) => {
                 self.ticket += 1;
                 let id = format!("operation-{operation}");
                 self.operations.insert(self.ticket, id.clone());
                 let request = ChangeRequest {
                     ticket: self.ticket,
                     operation: id,
-                    expected_generation: expects.then(|| self.roles[host].generation()),
+                    expected_generation: is_conditional.then(|| self.roles[host].generation()),
                     change: ConfigChange::Drain(DrainEntry::with_name(
                         DrainKind::Host,
                         &format!("h{operation}"),
                     )),
                 };
                 let actions = self.roles[host].on_change(request, Moment(self.now));
-                self.take(host, actions);
+                self.process(host, actions);
             }
             Event::Tick(host, millis) => {
                 self.now += millis;
                 let actions = self.roles[host].tick(Moment(self.now));
-                self.take(host, actions);
+                self.process(host, actions);
             }
-            Event::Answer(host) => self.call(host, true, true),
-            Event::LoseAnswer(host) => self.call(host, false, true),
-            Event::LoseCall(host) => self.call(host, false, false),
-            Event::Offer(from, to) => {
+            Event::Answer(host) => self.finish_call(host, true, true),
+            Event::LoseAnswer(host) => self.finish_call(host, false, true),
+            Event::LoseCall(host) => self.finish_call(host, false, false),
+            Event::Send(from, to) => {
                 if let Some(object) = self.roles[from].installed().cloned() {
                     let actions = self.roles[to].on_offer(&object);
-                    self.take(to, actions);
+                    self.process(to, actions);
                 }
             }
         }
@@ -220,36 +219,36 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn generations_grow_by_one_and_operators_are_told_the_truth(events in proptest::collection::vec(event(), 1..150)) {
-        let mut world = World {
+    fn generations_grow_by_one_and_answers_to_operators_are_correct(events in proptest::collection::vec(event(), 1..150)) {
+        let mut simulation = Simulation {
             roles: (0..HOSTS).map(|_| ConfigRole::new()).collect(),
             calls: vec![Vec::new(); HOSTS],
-            ..World::default()
+            ..Simulation::default()
         };
         let mut seen = [0; HOSTS];
         for event in events {
-            world.step(event);
+            simulation.step(event);
             for (host, before) in seen.iter_mut().enumerate() {
-                let generation = world.roles[host].generation();
-                prop_assert!(generation >= *before, "host {host} went back from {before} to {generation}");
+                let generation = simulation.roles[host].generation();
+                prop_assert!(generation >= *before, "host {host} regressed from {before} to {generation}");
                 *before = generation;
             }
         }
-        for (index, (generation, _)) in world.history.iter().enumerate() {
+        for (index, (generation, _)) in simulation.history.iter().enumerate() {
             prop_assert_eq!(*generation, index as u64 + 1);
         }
-        for (operation, generation) in &world.told {
-            prop_assert!(world.history.contains(&(*generation, operation.clone())), "{operation} was told {generation}");
+        for (operation, generation) in &simulation.answers {
+            prop_assert!(simulation.history.contains(&(*generation, operation.clone())), "the answer to {operation} was {generation}");
         }
-        let mut operations: Vec<&String> = world.history.iter().map(|(_, operation)| operation).collect();
+        let mut operations: Vec<&String> = simulation.history.iter().map(|(_, operation)| operation).collect();
         operations.sort();
         operations.dedup();
-        prop_assert_eq!(operations.len(), world.history.len(), "an operation took effect twice");
+        prop_assert_eq!(operations.len(), simulation.history.len(), "an operation took effect twice");
     }
 }
 
 #[test]
-fn changes_that_wait_are_bounded() {
+fn pending_changes_are_bounded() {
     let mut role = ConfigRole::new();
     let mut refused = 0;
     for ticket in 0..40 {
@@ -269,5 +268,9 @@
             }
         }
     }
-    assert_eq!(refused, 40 - 17, "sixteen wait behind the one under way");
+    assert_eq!(
+        refused,
+        40 - 17,
+        "sixteen changes are pending behind the active one"
+    );
 }
--- a/tests/roles_membership.rs
+++ b/tests/roles_membership.rs
@@ -1,4 +1,5 @@
-//! The membership role: suspicion, refutation, and the end of a cut, with messages passed by hand.
+//! Tests of the membership role: suspicion, refutation and recovery from network partitions. The
+//! test delivers the heartbeats itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,7 +36,7 @@
 struct Hosts {
     roles: Vec<MembershipRole>,
     now: u64,
-    most_records: usize,
+    max_records: usize,
 }
 
 impl Hosts {
@@ -43,18 +44,18 @@
         Self {
             roles: (0..count).map(role).collect(),
             now: 0,
-            most_records: 0,
+            max_records: 0,
         }
     }
 
-    /// One round of heartbeats; `passes` says which pairs hear each other.
-    fn round(&mut self, passes: impl Fn(usize, usize) -> bool) {
+    /// Runs one round of heartbeats. `can_communicate` decides which pairs of hosts can communicate.
+    fn round(&mut self, can_communicate: impl Fn(usize, usize) -> bool) {
         self.now += HEARTBEAT_MS;
         let now = Moment(self.now);
         for from in 0..self.roles.len() {
             for target in self.roles[from].tick(now) {
                 let to = usize::from(target.address.port() - 20_000);
-                if !passes(from, to) {
+                if !can_communicate(from, to) {
                     if let Some(name) = &target.name {
                         self.roles[from].on_missed(name, now);
                     }
@@ -66,7 +67,7 @@
                 let name = me.identity.name.clone();
                 let answer = self.roles[to].rumors_for(Some(&name), target.full);
                 if !target.full {
-                    self.most_records = self.most_records.max(rumors.len()).max(answer.len());
+                    self.max_records = self.max_records.max(rumors.len()).max(answer.len());
                 }
                 let peer = self.roles[to].me().clone();
                 self.roles[from].on_contact(&peer, &answer, now);
@@ -82,7 +83,7 @@
             .collect()
     }
 
-    fn everyone_sees_all_live(&self) -> bool {
+    fn all_see_all_live(&self) -> bool {
         (0..self.roles.len()).all(|of| {
             let states = self.states(of);
             states.len() == self.roles.len()
@@ -92,21 +93,21 @@
 }
 
 #[test]
-fn hosts_meet_through_one_seed_with_bounded_messages() {
+fn hosts_discover_each_other_through_one_seed_with_bounded_messages() {
     let mut hosts = Hosts::new(40);
     for _ in 0..60 {
         hosts.round(|_, _| true);
     }
-    assert!(hosts.everyone_sees_all_live());
+    assert!(hosts.all_see_all_live());
     assert!(
-        hosts.most_records <= MAX_RUMORS,
+        hosts.max_records <= MAX_RUMORS,
         "{} records on one message",
-        hosts.most_records
+        hosts.max_records
     );
 }
 
 #[test]
-fn a_silent_host_is_suspected_then_dead_and_refutes_when_it_wakes() {
+fn a_silent_host_is_suspected_then_dead_and_refutes_when_it_recovers() {
     let mut hosts = Hosts::new(5);
     for _ in 0..10 {
         hosts.round(|_, _| true);
@@ -115,20 +116,17 @@
     while hosts.states(0)["entry-03"] != HostState::Dead {
         hosts.round(|from, to| from != 3 && to != 3);
         rounds += 1;
-        assert!(rounds < 20, "a silent host is found dead");
+        assert!(rounds < 20, "a silent host is declared dead");
     }
     println!("dead after {} ms", rounds * HEARTBEAT_MS);
     for _ in 0..30 {
         hosts.round(|_, _| true);
     }
-    assert!(
-        hosts.everyone_sees_all_live(),
-        "it refutes what was believed of it"
-    );
+    assert!(hosts.all_see_all_live(), "the host refutes its death");
 }
 
 #[test]
-fn regions_that_lose_each_other_for_minutes_meet_again() {
+fn regions_partitioned_for_minutes_rediscover_each_other() {
     let mut hosts = Hosts::new(9);
     for _ in 0..20 {
         hosts.round(|_, _| true);
@@ -143,11 +141,11 @@
     for _ in 0..60 {
         hosts.round(|_, _| true);
     }
-    assert!(hosts.everyone_sees_all_live(), "{:?}", hosts.states(0));
+    assert!(hosts.all_see_all_live(), "{:?}", hosts.states(0));
 }
 
 #[test]
-fn a_host_that_leaves_is_known_to_leave() {
+fn a_leaving_host_is_seen_as_leaving_by_all() {
     let mut hosts = Hosts::new(5);
     for _ in 0..10 {
         hosts.round(|_, _| true);
@@ -162,17 +160,17 @@
         hosts.round(|_, _| true);
     }
     assert!(
-        hosts.everyone_sees_all_live(),
-        "a drain that is lifted brings it back"
+        hosts.all_see_all_live(),
+        "the host is live again after its drain ends"
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After any losses of messages, hosts that hear each other again all see each other live.
+    /// After any loss of messages, all hosts see each other as live once messages arrive again.
     #[test]
-    fn any_losses_end(losses in proptest::collection::vec(any::<u64>(), 1..40)) {
+    fn membership_converges_after_any_message_losses(losses in proptest::collection::vec(any::<u64>(), 1..40)) {
         let mut hosts = Hosts::new(7);
         for _ in 0..15 {
             hosts.round(|_, _| true);
@@ -183,6 +181,6 @@
         for _ in 0..80 {
             hosts.round(|_, _| true);
         }
-        prop_assert!(hosts.everyone_sees_all_live());
+        prop_assert!(hosts.all_see_all_live());
     }
 }
