--- a/src/claim_role.rs
+++ b/src/claim_role.rs
@@ -167,7 +167,7 @@
         &mut self,
         request: ClaimRequest,
         now: timer::Moment,
-        wall: &WallWindow,
+        window: &ClaimWindow,
     ) -> Vec<ClaimAction> {
         let ticket = request.ticket;
         if self.pending_count >= MAX_PENDING_OPERATIONS {
@@ -180,7 +180,7 @@
         }
         state.pending.push(ShardOperation::Claim(request));
         self.pending_count += 1;
-        self.advance(shard, now, wall)
+        self.advance(shard, now, window)
     }
 
     /// Queues the outcome of the owning attempt.
@@ -227,11 +227,11 @@
     }
 
     /// Refuses expired requests, starts due reads and writes, and drops idle shards.
-    pub fn tick(&mut self, now: timer::Moment, wall: &WallWindow) -> Vec<ClaimAction> {
+    pub fn tick(&mut self, now: timer::Moment, window: &ClaimWindow) -> Vec<ClaimAction> {
         let mut actions = self.expire(now);
         let shards: Vec<u16> = self.shards.keys().copied().collect();
         for shard in shards {
-            actions.extend(self.advance(shard, now, wall));
+            actions.extend(self.advance(shard, now, window));
         }
         self.shards.retain(|_, state| {
             let busy = !state.pending.is_empty()
@@ -265,7 +265,12 @@
         actions
     }
 
-    fn advance(&mut self, shard: u16, now: timer::Moment, wall: &WallWindow) -> Vec<ClaimAction> {
+    fn advance(
+        &mut self,
+        shard: u16,
+        now: timer::Moment,
+        window: &ClaimWindow,
+    ) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
@@ -277,14 +282,14 @@
                 state.phase = ShardPhase::Reading;
                 vec![ClaimAction::Read(shard)]
             }
-            ShardPhase::Ready => self.commit(shard, now, wall),
+            ShardPhase::Ready => self.commit(shard, now, window),
             ShardPhase::Reading | ShardPhase::Writing => Vec::new(),
         }
     }
 
     /// Applies all pending operations to a draft. Writes the draft, or answers immediately if it
     /// equals the stored content.
-    fn commit(&mut self, shard: u16, now: timer::Moment, wall: &WallWindow) -> Vec<ClaimAction> {
+    fn commit(&mut self, shard: u16, now: timer::Moment, window: &ClaimWindow) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
@@ -299,7 +304,7 @@
             state.batch = batch;
             return self.complete_batch(shard);
         }
-        draft.prune(wall.now_unix_ms, wall.window_ms);
+        draft.prune(window.now_unix_ms, window.window_ms);
         let Ok(bytes) = draft.to_bytes() else {
             state.blocked_until = now.plus(BACKOFF_MS);
             self.pending_count = self.pending_count.saturating_sub(batch.len());
@@ -345,7 +350,7 @@
         shard: u16,
         result: &ReadResult,
         now: timer::Moment,
-        wall: &WallWindow,
+        window: &ClaimWindow,
     ) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
@@ -366,7 +371,7 @@
         state.stored = stored;
         state.version = version;
         state.phase = ShardPhase::Ready;
-        self.advance(shard, now, wall)
+        self.advance(shard, now, window)
     }
 
     /// Refuses all pending claims after a failed read and blocks new ones for [`BACKOFF_MS`].
@@ -398,7 +403,7 @@
         shard: u16,
         result: WriteResult,
         now: timer::Moment,
-        wall: &WallWindow,
+        window: &ClaimWindow,
     ) -> Vec<ClaimAction> {
         let Some(state) = self.shards.get_mut(&shard) else {
             return Vec::new();
@@ -409,7 +414,7 @@
         if let WriteResult::Stored { version } = result {
             state.version = Some(version);
             let mut actions = self.complete_batch(shard);
-            actions.extend(self.advance(shard, now, wall));
+            actions.extend(self.advance(shard, now, window));
             return actions;
         }
         let batch = std::mem::take(&mut state.batch);
@@ -423,7 +428,7 @@
 
 /// The current time and the longest claim window, which decide when records are pruned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WallWindow {
+pub struct ClaimWindow {
     /// The current time in Unix milliseconds.
     pub now_unix_ms: u64,
     /// The longest window of any service, in milliseconds.
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -6,7 +6,7 @@
 
 use super::HostController;
 use crate::claim::{ClaimAttempt, ClaimKey};
-use crate::claim_role::{self, ClaimAction, ClaimAnswer, ClaimRequest, WallWindow};
+use crate::claim_role::{self, ClaimAction, ClaimAnswer, ClaimRequest, ClaimWindow};
 use crate::control_message::{
     CallPurpose, ClaimDecision, ControlAction, ControlAnswer, PeerClaim, PeerSettle,
 };
@@ -45,7 +45,7 @@
         (!own).then_some(owner.control_address)
     }
 
-    pub(super) fn on_claim(&mut self, request: ClaimRequest, now: Moment, wall: &WallWindow) {
+    pub(super) fn on_claim(&mut self, request: ClaimRequest, now: Moment, wall: &ClaimWindow) {
         let Some(owner) = self.shard_owner(request.key.shard(claim_role::SHARD_COUNT)) else {
             let actions = self.claims.on_claim(request, now, wall);
             self.run_claims(actions);
@@ -82,7 +82,7 @@
         ticket: u64,
         claim: &PeerClaim,
         now: Moment,
-        wall: &WallWindow,
+        wall: &ClaimWindow,
     ) {
         let Ok(digest) = u128::from_str_radix(&claim.digest, 16) else {
             self.answer(
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -14,7 +14,7 @@
 use std::{collections, net, sync};
 
 use crate::block_map::BlockMap;
-use crate::claim_role::{ClaimRole, WallWindow};
+use crate::claim_role::{ClaimRole, ClaimWindow};
 use crate::config_role::ConfigRole;
 use crate::control_message::{
     CallPurpose, ControlAction, ControlAnswer, ControlInput, WorkerUsage,
@@ -162,7 +162,7 @@
         wall_unix_ms: u64,
     ) -> Vec<ControlAction> {
         self.now = now;
-        let wall = WallWindow {
+        let wall = ClaimWindow {
             now_unix_ms: wall_unix_ms,
             window_ms: self.claim_window_ms(),
         };
@@ -228,7 +228,7 @@
             .unwrap_or(0)
     }
 
-    fn on_tick(&mut self, now: Moment, wall: &WallWindow) {
+    fn on_tick(&mut self, now: Moment, wall: &ClaimWindow) {
         let config = self.config.tick(now);
         self.run_config(config);
         self.tick_planner(now);
@@ -236,7 +236,7 @@
         self.run_claims(claims);
         self.expire_owner_claims(now);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now.plus(membership::HEARTBEAT_MS);
+            self.next_heartbeat = now.plus(membership::HEARTBEAT_INTERVAL_MS);
             self.send_heartbeats(now);
         }
         if now >= self.next_report {
@@ -333,7 +333,7 @@
             self.event(code, String::new());
         }
         if self.membership.take_changed() {
-            for (code, detail) in self.membership.take_news() {
+            for (code, detail) in self.membership.take_events() {
                 self.event(code, detail);
             }
             self.push_lookup();
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -3,7 +3,7 @@
 use std::net;
 
 use super::{HostController, WATCH_RETRY_MS};
-use crate::claim_role::WallWindow;
+use crate::claim_role::ClaimWindow;
 use crate::config_object::ConfigObject;
 use crate::control_message::{CallPurpose, ControlAction};
 use crate::event::EventCode;
@@ -21,7 +21,7 @@
         purpose: CallPurpose,
         reply: PlatformReply,
         now: Moment,
-        wall: &WallWindow,
+        wall: &ClaimWindow,
     ) {
         self.note_platform(&reply);
         match (purpose, reply) {
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -14,7 +14,7 @@
 use crate::{member, timer};
 
 /// Interval between two rounds of heartbeats.
-pub const HEARTBEAT_MS: u64 = 500;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Maximum number of remembered hosts.
 pub const MAX_MEMBERS: usize = 2_000;
 /// Maximum number of records on one heartbeat or its response, except in a full exchange.
@@ -133,7 +133,7 @@
     }
 
     /// Takes the state changes since the last call, as events for the log.
-    pub fn take_news(&mut self) -> Vec<(EventCode, String)> {
+    pub fn take_events(&mut self) -> Vec<(EventCode, String)> {
         std::mem::take(&mut self.events)
     }
 
--- a/tests/roles_claims.rs
+++ b/tests/roles_claims.rs
@@ -4,14 +4,14 @@
 use std::collections::{HashMap, HashSet};
 
 use ledgespool::claim::{ClaimAttempt, ClaimKey, ClaimShard, ClaimVerdict};
-use ledgespool::claim_role::{ClaimAction, ClaimAnswer, ClaimRequest, ClaimRole, WallWindow};
+use ledgespool::claim_role::{ClaimAction, ClaimAnswer, ClaimRequest, ClaimRole, ClaimWindow};
 use ledgespool::platform_call::{ReadResult, WriteResult};
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
 const HOSTS: usize = 3;
 const KEYS: u64 = 3;
-const WALL: WallWindow = WallWindow {
+const WALL: ClaimWindow = ClaimWindow {
     now_unix_ms: 1_700_000_000_000,
     window_ms: 900_000,
 };
--- a/tests/roles_membership.rs
+++ b/tests/roles_membership.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use ledgespool::member::{HostIdentity, HostState, MemberRecord};
-use ledgespool::membership::{HEARTBEAT_MS, MAX_RUMORS, MembershipRole};
+use ledgespool::membership::{HEARTBEAT_INTERVAL_MS, MAX_RUMORS, MembershipRole};
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
@@ -50,7 +50,7 @@
 
     /// Runs one round of heartbeats. `can_communicate` decides which pairs of hosts can communicate.
     fn round(&mut self, can_communicate: impl Fn(usize, usize) -> bool) {
-        self.now += HEARTBEAT_MS;
+        self.now += HEARTBEAT_INTERVAL_MS;
         let now = Moment(self.now);
         for from in 0..self.roles.len() {
             for target in self.roles[from].tick(now) {
@@ -118,7 +118,7 @@
         rounds += 1;
         assert!(rounds < 20, "a silent host is declared dead");
     }
-    println!("dead after {} ms", rounds * HEARTBEAT_MS);
+    println!("dead after {} ms", rounds * HEARTBEAT_INTERVAL_MS);
     for _ in 0..30 {
         hosts.round(|_, _| true);
     }
@@ -131,7 +131,7 @@
     for _ in 0..20 {
         hosts.round(|_, _| true);
     }
-    let minutes = 3 * 60_000 / HEARTBEAT_MS;
+    let minutes = 3 * 60_000 / HEARTBEAT_INTERVAL_MS;
     for _ in 0..minutes {
         hosts.round(|from, to| (from < 5) == (to < 5));
     }
