--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -37,8 +37,8 @@
 impl HostController {
     /// The control address of the shard's owner; `None` when that is this host.
     fn shard_owner(&self, shard: u16) -> Option<net::SocketAddr> {
-        let offered = self.membership.offered();
-        let owner = offered
+        let advertised = self.membership.advertised();
+        let owner = advertised
             .iter()
             .max_by_key(|record| rendezvous_weight(shard, &record.identity.name))?;
         let own = owner.identity.name == self.membership.me().identity.name;
--- a/src/controller/configuration.rs
+++ b/src/controller/configuration.rs
@@ -79,8 +79,8 @@
 
     pub(super) fn push_lookup(&mut self) {
         if let (Some(topology), Some(map)) = (&self.topology, &self.map) {
-            let offered = self.membership.offered();
-            let table = LookupTable::with_map(sync::Arc::clone(map), topology, &offered);
+            let advertised = self.membership.advertised();
+            let table = LookupTable::with_map(sync::Arc::clone(map), topology, &advertised);
             self.actions
                 .push(ControlAction::InstallLookup(sync::Arc::new(table)));
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -282,8 +282,8 @@
             return None;
         }
         let own = claims::rendezvous_weight(0, &self.membership.me().identity.name);
-        let offered = self.membership.offered();
-        let ahead = offered
+        let advertised = self.membership.advertised();
+        let ahead = advertised
             .iter()
             .filter(|record| claims::rendezvous_weight(0, &record.identity.name) > own);
         Some(ahead.count() as u64)
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -71,7 +71,7 @@
                 self.note_leaving_server(server.name.clone(), since);
             }
         }
-        let peers = self.membership.offered().len().saturating_sub(1);
+        let peers = self.membership.advertised().len().saturating_sub(1);
         let peer = &heartbeat.from.identity.name;
         let actions = self
             .config
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -104,8 +104,8 @@
 
     pub(super) fn is_hall_watcher(&self) -> bool {
         let me = self.membership.me();
-        let offered = self.membership.offered();
-        let first = offered
+        let advertised = self.membership.advertised();
+        let first = advertised
             .iter()
             .filter(|record| record.hall == me.hall && record.state == HostState::Live)
             .map(|record| &record.identity.name)
--- a/src/lookup.rs
+++ b/src/lookup.rs
@@ -172,7 +172,7 @@
     };
     let open = members
         .iter()
-        .filter(|record| record.is_offered() && !drained(record));
+        .filter(|record| record.is_advertised() && !drained(record));
     open.filter_map(|record| {
         let hall = topology.hall_id(&record.hall)?;
         Some(OfferedHost {
--- a/src/member.rs
+++ b/src/member.rs
@@ -71,7 +71,7 @@
 impl MemberRecord {
     /// Whether it is advertised to callers.
     #[must_use]
-    pub fn is_offered(&self) -> bool {
+    pub fn is_advertised(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Suspect)
     }
 
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -111,10 +111,10 @@
 
     /// Records of all hosts that are neither dead nor leaving, including this host's own.
     #[must_use]
-    pub fn offered(&self) -> Vec<member::MemberRecord> {
+    pub fn advertised(&self) -> Vec<member::MemberRecord> {
         self.records()
             .into_iter()
-            .filter(member::MemberRecord::is_offered)
+            .filter(member::MemberRecord::is_advertised)
             .collect()
     }
 
