--- a/src/allocation.rs
+++ b/src/allocation.rs
@@ -12,7 +12,7 @@
     pub load_milli: u32,
     /// Whether it is local to the place. A local host counts with one extra unit of load, so that
     /// its first requests do not have to wait for the planner.
-    pub is_near: bool,
+    pub is_local: bool,
 }
 
 const MILLI_PER_UNIT: f64 = 1_000.0;
@@ -23,9 +23,9 @@
 ///
 /// ```
 /// use ledgespool::allocation;
-/// let near = |load_milli| allocation::UnitClaimant { load_milli, is_near: true };
-/// assert_eq!(allocation::split_units(9, &[near(0), near(0), near(0)]), vec![3, 3, 3]);
-/// assert_eq!(allocation::split_units(9, &[near(8_000), near(0), near(0)]), vec![7, 1, 1]);
+/// let local = |load_milli| allocation::UnitClaimant { load_milli, is_local: true };
+/// assert_eq!(allocation::split_units(9, &[local(0), local(0), local(0)]), vec![3, 3, 3]);
+/// assert_eq!(allocation::split_units(9, &[local(8_000), local(0), local(0)]), vec![7, 1, 1]);
 /// ```
 #[must_use]
 pub fn split_units(limit: u32, claimants: &[UnitClaimant]) -> Vec<u32> {
@@ -51,7 +51,7 @@
 }
 
 fn effective_load(claimant: UnitClaimant) -> f64 {
-    f64::from(claimant.load_milli) / MILLI_PER_UNIT + if claimant.is_near { 1.0 } else { 0.0 }
+    f64::from(claimant.load_milli) / MILLI_PER_UNIT + if claimant.is_local { 1.0 } else { 0.0 }
 }
 
 /// The reserve factor with which loads and reserves add up to the limit.
--- a/src/bin/ledgespool/commands.rs
+++ b/src/bin/ledgespool/commands.rs
@@ -177,7 +177,7 @@
     let old = before.map_or(&empty, |object| object.declaration.as_ref());
     let mut changes = declaration::list_changes(old, new);
     // Drains and shifts in force are kept by `apply`, so their absence in files changes nothing.
-    changes.retain(|change| !change.is_kept_order());
+    changes.retain(|change| !change.is_retained_by_apply());
     let generation = before.map_or(0, |object| object.generation);
     if json {
         output::print_json(&serde_json::json!({ "generation": generation, "changes": changes }));
--- a/src/config_role.rs
+++ b/src/config_role.rs
@@ -299,7 +299,7 @@
     }
 
     /// Installs a configuration received through a watch or from a peer, if it is newer.
-    pub fn on_offer(&mut self, object: &ConfigObject) -> Vec<ConfigAction> {
+    pub fn on_received(&mut self, object: &ConfigObject) -> Vec<ConfigAction> {
         self.fetch_started_at = None;
         self.install(object)
     }
--- a/src/controller/configuration.rs
+++ b/src/controller/configuration.rs
@@ -89,7 +89,7 @@
     pub(super) fn on_fetched(&mut self, object: Option<&ConfigObject>) {
         match object {
             Some(object) => {
-                let actions = self.config.on_offer(object);
+                let actions = self.config.on_received(object);
                 self.run_config(actions);
             }
             None => self.config.on_fetch_failed(),
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -140,7 +140,7 @@
     pub(super) fn offer_config(&mut self, value: &serde_json::Value) {
         match ConfigObject::from_bytes(value.to_string().as_bytes()) {
             Ok(object) => {
-                let actions = self.config.on_offer(&object);
+                let actions = self.config.on_received(&object);
                 self.run_config(actions);
             }
             Err(fault) => self.event(EventCode::ConfigRejected, fault.to_string()),
--- a/src/declaration/diff.rs
+++ b/src/declaration/diff.rs
@@ -28,7 +28,7 @@
 impl DeclarationChange {
     /// Whether this is an active drain or shift that is missing from the files. `apply` keeps it.
     #[must_use]
-    pub fn is_kept_order(&self) -> bool {
+    pub fn is_retained_by_apply(&self) -> bool {
         let is_drain_or_shift =
             self.entry.starts_with("drains ") || self.entry.starts_with("shifts ");
         self.kind == ChangeKind::Removed && is_drain_or_shift
--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -74,7 +74,7 @@
     let mut gone = Vec::new();
     let known = draft.hosts.clone();
     for host in &mut draft.hosts {
-        if is_superseded(host, &known) || (roster.is_gone(host) && !reports_now(host, reports)) {
+        if is_superseded(host, &known) || (roster.is_removed(host) && !reports_now(host, reports)) {
             gone.push(host.identity.clone());
         } else if host.listed_at == 0 {
             host.listed_at = roster.listed_version(host).unwrap_or(0);
@@ -255,7 +255,7 @@
             load_milli: loads
                 .get(&(host.identity.name.clone(), budget.key.clone()))
                 .map_or(0, |load| load.milli),
-            is_near: is_near(&budget.key, &host.hall, topology),
+            is_local: is_local(&budget.key, &host.hall, topology),
         })
         .collect();
     let reserved = silent_units(budget, &hosts);
@@ -311,7 +311,7 @@
 }
 
 /// Whether a host stands in the region of a hall, or at either end of a route.
-fn is_near(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
+fn is_local(key: &budget::PlaceKey, hall: &str, topology: &topology::SteeringTopology) -> bool {
     let region_name = |hall: &str| {
         let region = topology
             .hall_id(hall)
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -5,8 +5,8 @@
 use crate::timer;
 
 /// Interval between steps.
-pub const STEP_PERIOD_MS: u64 = 6_000;
-const STEPS_PER_MINUTE: u32 = (60_000 / STEP_PERIOD_MS) as u32;
+pub const STEP_INTERVAL_MS: u64 = 6_000;
+const STEPS_PER_MINUTE: u32 = (60_000 / STEP_INTERVAL_MS) as u32;
 /// Share of refused requests above which the receiving region counts as overloaded.
 const OVERLOAD_REFUSAL_SHARE: f64 = 0.01;
 /// Used share of the allowance below which the allowance does not grow.
@@ -83,7 +83,7 @@
     ) -> bool {
         let before = self.allowance;
         self.allowance = self.allowance.min(rule.concurrent);
-        if now.since(self.last_step) >= STEP_PERIOD_MS {
+        if now.since(self.last_step) >= STEP_INTERVAL_MS {
             self.last_step = now;
             self.apply_step(rule, evidence);
         }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -80,7 +80,7 @@
 
     /// Whether the list contained the host earlier and no longer does.
     #[must_use]
-    pub fn is_gone(&self, host: &plan::PlanHost) -> bool {
+    pub fn is_removed(&self, host: &plan::PlanHost) -> bool {
         host.listed_at > 0 && self.version > host.listed_at && !self.contains(host)
     }
 
--- a/tests/roles_budget.rs
+++ b/tests/roles_budget.rs
@@ -7,7 +7,7 @@
 use ledgespool::budget::{PlaceBudget, PlaceKey};
 use ledgespool::declaration::ShiftRule;
 use ledgespool::member::HostIdentity;
-use ledgespool::ramp::{RampEvidence, RouteRamp, STEP_PERIOD_MS};
+use ledgespool::ramp::{RampEvidence, RouteRamp, STEP_INTERVAL_MS};
 use ledgespool::timer::Moment;
 use proptest::prelude::*;
 
@@ -100,11 +100,11 @@
     #[test]
     fn units_follow_loads(limit in 0_u32..400, loads in proptest::collection::vec((0_u32..60_000, any::<bool>()), 0..40)) {
         let claimants: Vec<UnitClaimant> =
-            loads.iter().map(|&(load_milli, is_near)| UnitClaimant { load_milli, is_near }).collect();
+            loads.iter().map(|&(load_milli, is_local)| UnitClaimant { load_milli, is_local }).collect();
         let targets = split_units(limit, &claimants);
         let total: u32 = targets.iter().sum();
         prop_assert!(total <= limit);
-        let counted = |claimant: &UnitClaimant| claimant.load_milli + if claimant.is_near { 1_000 } else { 0 };
+        let counted = |claimant: &UnitClaimant| claimant.load_milli + if claimant.is_local { 1_000 } else { 0 };
         let sum: u32 = claimants.iter().map(counted).sum();
         prop_assert!(sum == 0 || total >= limit.min(sum / 1_000), "{total} of {limit} are given for {sum}");
         for (left, left_target) in claimants.iter().zip(&targets) {
@@ -160,7 +160,7 @@
         completed: 90,
         refused: 10,
     };
-    assert!(ramp.step(&rule, &evidence, Moment(STEP_PERIOD_MS)));
+    assert!(ramp.step(&rule, &evidence, Moment(STEP_INTERVAL_MS)));
     assert_eq!(ramp.allowance, 40);
     let evidence = RampEvidence {
         demand: 40,
@@ -168,9 +168,9 @@
         refused: 0,
     };
     assert!(
-        !ramp.step(&rule, &evidence, Moment(STEP_PERIOD_MS + 1)),
+        !ramp.step(&rule, &evidence, Moment(STEP_INTERVAL_MS + 1)),
         "a step needs its whole period"
     );
-    assert!(ramp.step(&rule, &evidence, Moment(2 * STEP_PERIOD_MS)));
+    assert!(ramp.step(&rule, &evidence, Moment(2 * STEP_INTERVAL_MS)));
     assert_eq!(ramp.allowance, 50);
 }
--- a/tests/roles_config.rs
+++ b/tests/roles_config.rs
@@ -28,10 +28,10 @@
 #[test]
 fn an_older_generation_is_never_installed() {
     let mut role = ConfigRole::new();
-    assert_eq!(role.on_offer(&object(5)).len(), 1);
+    assert_eq!(role.on_received(&object(5)).len(), 1);
     for older in [1, 4, 5] {
         assert!(
-            role.on_offer(&object(older)).is_empty(),
+            role.on_received(&object(older)).is_empty(),
             "generation {older}"
         );
         assert_eq!(role.generation(), 5);
@@ -207,7 +207,7 @@
             Event::LoseCall(host) => self.finish_call(host, false, false),
             Event::Send(from, to) => {
                 if let Some(object) = self.roles[from].installed().cloned() {
-                    let actions = self.roles[to].on_offer(&object);
+                    let actions = self.roles[to].on_received(&object);
                     self.process(to, actions);
                 }
             }
