--- a/src/control_shell.rs
+++ b/src/control_thread.rs
@@ -51,7 +51,7 @@
 }
 
 /// The state of the control thread.
-pub(crate) struct ControlShell {
+pub(crate) struct ControlThread {
     pub(crate) controller: HostController,
     pub(crate) clock: BootClock,
     pub(crate) control: ControlPort,
@@ -64,7 +64,7 @@
     pub(crate) timer_stop: sync::Arc<atomic::AtomicBool>,
 }
 
-impl ControlShell {
+impl ControlThread {
     /// Runs until the controller has finished or all senders are dropped.
     pub(crate) async fn run(mut self, envelopes: RingReceiver<ControlEnvelope>) {
         while let Some(envelope) = envelopes.pop().await {
@@ -120,17 +120,13 @@
                 return self.send_to_peer(PeerMessage::Settle(address, settle));
             }
             ControlAction::InstallTopology(topology) => {
-                self.send_to_workers(&WorkerOrder::Topology(topology));
-            }
-            ControlAction::InstallLookup(lookup) => {
-                self.send_to_workers(&WorkerOrder::Lookup(lookup))
+                self.broadcast(&WorkerOrder::Topology(topology));
             }
+            ControlAction::InstallLookup(lookup) => self.broadcast(&WorkerOrder::Lookup(lookup)),
             ControlAction::InstallGrants(grants) => self.install_grants(&grants),
-            ControlAction::SetLeaving(leaving) => {
-                self.send_to_workers(&WorkerOrder::Leaving(leaving))
-            }
+            ControlAction::SetLeaving(leaving) => self.broadcast(&WorkerOrder::Leaving(leaving)),
             ControlAction::SetLeavingServers(names) => {
-                self.send_to_workers(&WorkerOrder::LeavingServers(names));
+                self.broadcast(&WorkerOrder::LeavingServers(names));
             }
             ControlAction::Answer(ticket, answer) => {
                 if let Some(sender) = self.waiting.remove(&ticket) {
@@ -165,7 +161,7 @@
         }
     }
 
-    fn send_to_workers(&mut self, order: &WorkerOrder) {
+    fn broadcast(&mut self, order: &WorkerOrder) {
         for worker in &mut self.workers {
             worker.send(order.clone());
         }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -6,8 +6,9 @@
 
 use tokio::sync::watch;
 
+use crate::auth::TokenPair;
 use crate::control_message::ControlInput;
-use crate::control_shell::{ControlShell, WorkerPort};
+use crate::control_thread::{ControlThread, WorkerPort};
 use crate::controller::{ControlSettings, HostController};
 use crate::error::{self, Error};
 use crate::event::EventCode;
@@ -23,7 +24,6 @@
 use crate::rpc_server;
 use crate::settings::HostSettings;
 use crate::timer::{self, BootClock, TimerService};
-use crate::token::TokenPair;
 use crate::worker::{self, WorkerOrder, WorkerSetup};
 
 /// How often the controller sees time pass.
@@ -142,7 +142,7 @@
         workers: workers.len(),
         seed,
     };
-    let shell = ControlShell {
+    let control_thread = ControlThread {
         controller: HostController::new(&control_settings, clock.now()),
         clock,
         control: control.clone(),
@@ -154,7 +154,7 @@
         stop,
         timer_stop,
     };
-    threads.push(spawn_control(shell, envelopes, runtime)?);
+    threads.push(spawn_control(control_thread, envelopes, runtime)?);
     let detail = format!("callers {caller_address}, control {control_address}");
     events.write(EventCode::ProcessStarted, detail);
     Ok(RunningHost {
@@ -217,13 +217,13 @@
 }
 
 fn spawn_control(
-    shell: ControlShell,
+    control_thread: ControlThread,
     envelopes: RingReceiver<ControlEnvelope>,
     runtime: tokio::runtime::Runtime,
 ) -> std::io::Result<thread::JoinHandle<()>> {
     thread::Builder::new()
         .name("control".to_owned())
-        .spawn(move || runtime.block_on(shell.run(envelopes)))
+        .spawn(move || runtime.block_on(control_thread.run(envelopes)))
 }
 
 fn bind(address: net::SocketAddr) -> error::Result<net::TcpListener> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,7 @@
 //! The modules follow the path of a request: a [`declaration`] says what exists.
 
 pub mod allocation;
+pub mod auth;
 pub mod block_map;
 pub mod budget;
 pub mod catalogue;
@@ -12,7 +13,7 @@
 pub mod config_role;
 mod connection_headers;
 pub mod control_message;
-mod control_shell;
+mod control_thread;
 pub mod controller;
 pub mod daemon;
 pub mod declaration;
@@ -58,6 +59,5 @@
 pub mod steering;
 pub mod timeline;
 pub mod timer;
-pub mod token;
 pub mod topology;
 pub mod worker;
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -8,6 +8,7 @@
 use jsonrpsee::types::{ErrorObjectOwned, Params};
 use jsonrpsee::{Extensions, RpcModule};
 
+use crate::auth::CallerRole;
 use crate::config_object::{ConfigChange, ConfigObject};
 use crate::config_role::ChangeRequest;
 use crate::control_message::{
@@ -20,7 +21,6 @@
 use crate::report::HostReport;
 use crate::result_code::ResultCode;
 use crate::timeline::{ClockStamp, EventRecord};
-use crate::token::CallerRole;
 
 /// Come-back time of a refused call, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
--- a/src/rpc_server.rs
+++ b/src/rpc_server.rs
@@ -12,11 +12,11 @@
 use tokio::sync::watch;
 use tower::{Service as _, layer::util::Identity};
 
+use crate::auth::TokenPair;
 use crate::listener;
 use crate::plan;
 use crate::result_code::ResultCode;
 use crate::rpc::{self, RpcContext};
-use crate::token::TokenPair;
 
 /// The largest call: a declaration of a megabyte and its frame.
 const MAX_CALL_BYTES: u32 = plan::MAX_OBJECT_BYTES as u32 + 64 * 1024;
