--- a/src/auth.rs
+++ b/src/auth.rs
@@ -19,7 +19,7 @@
 }
 
 impl TokenPair {
-    /// Takes the tokens from settings.
+    /// The tokens from the settings.
     #[must_use]
     pub fn from_settings(settings: &settings::HostSettings) -> Self {
         Self {
--- a/src/config_role.rs
+++ b/src/config_role.rs
@@ -65,7 +65,7 @@
         /// The version to replace.
         expected: Option<u64>,
     },
-    /// Ask the named peer for its configuration.
+    /// Request the configuration of the peer with this name.
     Fetch(String),
     /// Activate this configuration.
     Install(ConfigObject),
