--- a/src/claim.rs
+++ b/src/claim.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Claims a key for an attempt. Idempotent: the same attempt gets the same verdict again.
+    /// Claims a key for an attempt. Claiming again for the same attempt gives the same verdict.
     pub fn claim(&mut self, key: &ClaimKey, attempt: &ClaimAttempt) -> ClaimVerdict {
         if self.records.contains_key(&key.digest) {
             return self.verdict(key, attempt);
--- a/src/declaration/mod.rs
+++ b/src/declaration/mod.rs
@@ -109,7 +109,7 @@
     pub weight: u32,
     /// Default deadline of a request in milliseconds.
     pub deadline_ms: u64,
-    /// Whether requests are idempotent, so that they may run twice.
+    /// Whether it is safe to run a request more than once.
     pub repeatable: bool,
 }
 
