--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -6,7 +6,7 @@
 
 use super::HostController;
 use crate::claim::{ClaimAttempt, ClaimKey};
-use crate::claim_role::{self, ClaimAction, ClaimAnswer, ClaimRequest, WallWindow};
+use crate::claim_role::{self, ClaimAction, ClaimAnswer, ClaimRequest, ClaimWindow};
 use crate::control_message::{
     CallPurpose, ClaimDecision, ControlAction, ControlAnswer, PeerClaim, PeerSettle,
 };
@@ -38,15 +38,15 @@
 impl HostController {
     /// The control address of the shard's owner; `None` if this host owns it.
     fn shard_owner(&self, shard: u16) -> Option<net::SocketAddr> {
-        let offered = self.membership.offered();
-        let owner = offered
+        let advertised = self.membership.advertised();
+        let owner = advertised
             .iter()
             .max_by_key(|record| rendezvous_weight(shard, &record.identity.name))?;
         let own = owner.identity.name == self.membership.me().identity.name;
         (!own).then_some(owner.control_address)
     }
 
-    pub(super) fn on_claim(&mut self, request: ClaimRequest, now: Moment, wall: &WallWindow) {
+    pub(super) fn on_claim(&mut self, request: ClaimRequest, now: Moment, wall: &ClaimWindow) {
         let Some(owner) = self.shard_owner(request.key.shard(claim_role::SHARD_COUNT)) else {
             let actions = self.claims.on_claim(request, now, wall);
             self.run_claim_actions(actions);
@@ -83,7 +83,7 @@
         ticket: u64,
         claim: &PeerClaim,
         now: Moment,
-        wall: &WallWindow,
+        wall: &ClaimWindow,
     ) {
         let Ok(digest) = u128::from_str_radix(&claim.digest, 16) else {
             self.answer(
--- a/src/controller/configuration.rs
+++ b/src/controller/configuration.rs
@@ -79,8 +79,8 @@
 
     pub(super) fn push_lookup(&mut self) {
         if let (Some(topology), Some(map)) = (&self.topology, &self.map) {
-            let offered = self.membership.offered();
-            let table = LookupTable::with_map(sync::Arc::clone(map), topology, &offered);
+            let advertised = self.membership.advertised();
+            let table = LookupTable::with_map(sync::Arc::clone(map), topology, &advertised);
             self.actions
                 .push(ControlAction::InstallLookup(sync::Arc::new(table)));
         }
@@ -89,7 +89,7 @@
     pub(super) fn on_fetched(&mut self, object: Option<&ConfigObject>) {
         match object {
             Some(object) => {
-                let actions = self.config.on_offer(object);
+                let actions = self.config.on_received(object);
                 self.run_config_actions(actions);
             }
             None => self.config.on_fetch_failed(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -14,7 +14,7 @@
 use std::{collections, net, sync};
 
 use crate::block_map::BlockMap;
-use crate::claim_role::{ClaimRole, WallWindow};
+use crate::claim_role::{ClaimRole, ClaimWindow};
 use crate::config_role::ConfigRole;
 use crate::control_message::{
     CallPurpose, ControlAction, ControlAnswer, ControlInput, WorkerUsage,
@@ -163,7 +163,7 @@
         wall_unix_ms: u64,
     ) -> Vec<ControlAction> {
         self.now = now;
-        let wall = WallWindow {
+        let wall = ClaimWindow {
             now_unix_ms: wall_unix_ms,
             window_ms: self.claim_window_ms(),
         };
@@ -229,7 +229,7 @@
             .unwrap_or(0)
     }
 
-    fn on_tick(&mut self, now: Moment, wall: &WallWindow) {
+    fn on_tick(&mut self, now: Moment, wall: &ClaimWindow) {
         let config = self.config.tick(now);
         self.run_config_actions(config);
         self.tick_planner(now);
@@ -237,7 +237,7 @@
         self.run_claim_actions(claims);
         self.expire_forwarded_claims(now);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now.plus(membership::HEARTBEAT_MS);
+            self.next_heartbeat = now.plus(membership::HEARTBEAT_INTERVAL_MS);
             self.send_heartbeats(now);
         }
         if now >= self.next_report {
@@ -284,8 +284,8 @@
             return None;
         }
         let own = claims::rendezvous_weight(0, &self.membership.me().identity.name);
-        let offered = self.membership.offered();
-        let ahead = offered
+        let advertised = self.membership.advertised();
+        let ahead = advertised
             .iter()
             .filter(|record| claims::rendezvous_weight(0, &record.identity.name) > own);
         Some(ahead.count() as u64)
@@ -335,7 +335,7 @@
             self.event(code, String::new());
         }
         if self.membership.take_changed() {
-            for (code, detail) in self.membership.take_news() {
+            for (code, detail) in self.membership.take_events() {
                 self.event(code, detail);
             }
             self.push_lookup();
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -3,7 +3,7 @@
 use std::net;
 
 use super::{HostController, WATCH_RETRY_DELAY_MS};
-use crate::claim_role::WallWindow;
+use crate::claim_role::ClaimWindow;
 use crate::config_object::ConfigObject;
 use crate::control_message::{CallPurpose, ControlAction};
 use crate::event::EventCode;
@@ -21,7 +21,7 @@
         purpose: CallPurpose,
         reply: PlatformReply,
         now: Moment,
-        wall: &WallWindow,
+        wall: &ClaimWindow,
     ) {
         self.update_platform_state(&reply);
         match (purpose, reply) {
@@ -105,8 +105,8 @@
 
     pub(super) fn is_hall_watcher(&self) -> bool {
         let me = self.membership.me();
-        let offered = self.membership.offered();
-        let first = offered
+        let advertised = self.membership.advertised();
+        let first = advertised
             .iter()
             .filter(|record| record.hall == me.hall && record.state == HostState::Live)
             .map(|record| &record.identity.name)
@@ -141,7 +141,7 @@
     pub(super) fn offer_config(&mut self, value: &serde_json::Value) {
         match ConfigObject::from_bytes(value.to_string().as_bytes()) {
             Ok(object) => {
-                let actions = self.config.on_offer(&object);
+                let actions = self.config.on_received(&object);
                 self.run_config_actions(actions);
             }
             Err(fault) => self.event(EventCode::ConfigRejected, fault.to_string()),
--- a/src/lookup.rs
+++ b/src/lookup.rs
@@ -172,7 +172,7 @@
     };
     let available = members
         .iter()
-        .filter(|record| record.is_offered() && !drained(record));
+        .filter(|record| record.is_advertised() && !drained(record));
     available
         .filter_map(|record| {
             let hall = topology.hall_id(&record.hall)?;
--- a/src/planner/draft.rs
+++ b/src/planner/draft.rs
@@ -75,7 +75,8 @@
     let mut removed = Vec::new();
     let known = draft.hosts.clone();
     for host in &mut draft.hosts {
-        if is_superseded(host, &known) || (roster.is_gone(host) && !is_reporting(host, reports)) {
+        if is_superseded(host, &known) || (roster.is_removed(host) && !is_reporting(host, reports))
+        {
             removed.push(host.identity.clone());
         } else if host.listed_at == 0 {
             host.listed_at = roster.listed_version(host).unwrap_or(0);
@@ -176,7 +177,7 @@
     topology: &topology::SteeringTopology,
 ) -> ramp::RampEvidence {
     let of_place = loads.iter().filter(|((_, place), _)| place == key);
-    let milli = budget::total(of_place.map(|(_, load)| load.milli));
+    let milli = budget::saturating_sum(of_place.map(|(_, load)| load.milli));
     let demand = milli.div_ceil(1_000);
     let mut ramp_evidence = ramp::RampEvidence {
         demand,
@@ -257,7 +258,7 @@
             load_milli: loads
                 .get(&(host.identity.name.clone(), budget.key.clone()))
                 .map_or(0, |load| load.milli),
-            is_near: is_local(&budget.key, &host.hall, topology),
+            is_local: is_local(&budget.key, &host.hall, topology),
         })
         .collect();
     let reserved = inactive_units(budget, &hosts);
@@ -282,7 +283,7 @@
         .entries
         .iter()
         .filter(|entry| !participates(&entry.host));
-    budget::total(others.map(|entry| entry.held))
+    budget::saturating_sum(others.map(|entry| entry.held))
 }
 
 /// Lowers the grants of leaving hosts that still report to zero.
