--- a/src/port.rs
+++ b/src/port.rs
@@ -1,4 +1,5 @@
-//! The way into the controller for other threads: a bounded ring, and tickets for answers.
+//! The input port of the controller for other threads: a bounded ring, with tickets that match
+//! answers to inputs.
 
 use std::sync;
 use std::sync::atomic;
@@ -8,36 +9,36 @@
 use crate::control_message::{ControlAnswer, ControlInput};
 use crate::ring::{self, RingReceiver, RingSender};
 
-/// Inputs that may wait for the controller. When it is full, callers are refused with
-/// `WorkRejected` or `ControlBusy`, and ticks and reports are left out.
+/// Inputs that may wait for the controller. When the ring is full, callers are refused with
+/// `WorkRejected` or `ControlBusy`, and ticks and reports are dropped.
 pub const CONTROL_RING: usize = 8_192;
 
-/// Someone who waits for an answer.
+/// The sender of an input that expects an answer.
 #[derive(Debug)]
 pub struct WaitingCaller {
     /// The ticket that the answer will carry.
     pub ticket: u64,
-    /// Where to send it.
+    /// The channel for the answer.
     pub sender: oneshot::Sender<ControlAnswer>,
 }
 
-/// An input, with whoever waits for its answer.
+/// An input, with the sender that waits for its answer.
 #[derive(Debug)]
 pub struct ControlEnvelope {
     /// The input.
     pub input: ControlInput,
-    /// Who waits.
+    /// Receives the answer, if one is expected.
     pub waiting: Option<WaitingCaller>,
 }
 
-/// The writing end of the controller's ring.
+/// The sending half of the controller's ring.
 #[derive(Debug, Clone)]
 pub struct ControlPort {
     ring: RingSender<ControlEnvelope>,
     tickets: sync::Arc<atomic::AtomicU64>,
 }
 
-/// Makes the ring of a controller.
+/// Creates the ring of a controller.
 #[must_use]
 pub fn open() -> (ControlPort, RingReceiver<ControlEnvelope>) {
     let (ring, receiver) = ring::with_capacity(CONTROL_RING);
@@ -51,7 +52,8 @@
 }
 
 impl ControlPort {
-    /// Passes an input on; returns whether there was room.
+    /// Sends an input without waiting for an answer; returns false if the ring is full or the
+    /// controller has stopped.
     #[must_use]
     pub fn tell(&self, input: ControlInput) -> bool {
         self.ring
@@ -62,8 +64,8 @@
             .is_ok()
     }
 
-    /// Passes an input on and waits for its answer; `None` when the ring is full or the
-    /// controller gone.
+    /// Sends an input and waits for its answer; `None` if the ring is full or the controller has
+    /// stopped.
     pub async fn ask(&self, input: impl FnOnce(u64) -> ControlInput) -> Option<ControlAnswer> {
         let ticket = self.tickets.fetch_add(1, atomic::Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
@@ -75,13 +77,13 @@
         receiver.await.ok()
     }
 
-    /// Whether the controller is gone.
+    /// Whether the controller has stopped.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.ring.is_closed()
     }
 
-    /// The ring itself, for the timer.
+    /// The ring itself, to which the timer sends ticks.
     #[must_use]
     pub fn ring(&self) -> RingSender<ControlEnvelope> {
         self.ring.clone()
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,4 +1,4 @@
-//! Bounded rings that join the threads: pushing never blocks, popping waits.
+//! Bounded rings that connect the threads: a push never blocks, a pop waits for a value.
 
 use std::sync;
 use std::sync::atomic;
@@ -6,12 +6,12 @@
 use crossbeam_queue::ArrayQueue;
 use tokio::sync::Notify;
 
-/// Why a value was not taken; it is handed back.
+/// Why a push failed; contains the value that was not pushed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RingFault<T> {
     /// The ring is full.
     Full(T),
-    /// The reader is gone.
+    /// The receiver was dropped.
     Closed(T),
 }
 
@@ -23,19 +23,19 @@
     senders: atomic::AtomicUsize,
 }
 
-/// The writing end; may be cloned and used from any thread.
+/// The sending half; may be cloned and used from any thread.
 #[derive(Debug)]
 pub struct RingSender<T> {
     state: sync::Arc<RingState<T>>,
 }
 
-/// The reading end.
+/// The receiving half.
 #[derive(Debug)]
 pub struct RingReceiver<T> {
     state: sync::Arc<RingState<T>>,
 }
 
-/// Makes a ring that holds at most `capacity` values.
+/// Creates a ring that holds at most `capacity` values.
 ///
 /// ```
 /// use ledgespool::ring;
@@ -64,7 +64,7 @@
     /// Adds a value without waiting.
     ///
     /// # Errors
-    /// [`RingFault`] with the value when the ring is full or its reader gone.
+    /// [`RingFault`] with the value if the ring is full or its receiver was dropped.
     pub fn push(&self, value: T) -> Result<(), RingFault<T>> {
         if self.state.reader_gone.load(atomic::Ordering::Acquire) {
             return Err(RingFault::Closed(value));
@@ -76,7 +76,7 @@
 }
 
 impl<T> RingSender<T> {
-    /// Whether the reader is gone.
+    /// Whether the receiver was dropped.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.state.reader_gone.load(atomic::Ordering::Acquire)
@@ -101,13 +101,13 @@
 }
 
 impl<T> RingReceiver<T> {
-    /// Takes the oldest value if there is one.
+    /// Takes the oldest value, if there is one.
     #[must_use]
     pub fn try_pop(&self) -> Option<T> {
         self.state.queue.pop()
     }
 
-    /// Waits for the oldest value; `None` once all senders are gone and the ring is empty.
+    /// Waits for the oldest value; `None` once all senders are dropped and the ring is empty.
     pub async fn pop(&self) -> Option<T> {
         loop {
             if let Some(value) = self.state.queue.pop() {
--- a/src/slot_table.rs
+++ b/src/slot_table.rs
@@ -1,13 +1,14 @@
-//! Values by key with small stable positions: a position stays valid while its value is kept.
+//! A table of values by key with small stable indices: an index stays valid as long as its value is
+//! in the table.
 
 use std::collections;
 use std::hash;
 
-/// Where a value stands.
+/// The index of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SlotIndex(usize);
 
-/// A table whose slots are reused only after their value was dropped by [`SlotTable::retain`].
+/// A table whose slots are reused only after [`SlotTable::retain`] has removed their value.
 #[derive(Debug)]
 pub struct SlotTable<K, V> {
     index: collections::HashMap<K, usize>,
@@ -26,7 +27,7 @@
 }
 
 impl<K: Clone + Eq + hash::Hash, V> SlotTable<K, V> {
-    /// The slot of a key, made with `make` when it is new.
+    /// Returns the slot of a key; a new key gets a value from `make`.
     ///
     /// ```
     /// use ledgespool::slot_table;
@@ -69,12 +70,12 @@
         self.slots.get(slot.0)?.as_ref().map(|(_, value)| value)
     }
 
-    /// The value in a slot, to change it.
+    /// The value in a slot, for modification.
     pub fn get_mut(&mut self, slot: SlotIndex) -> Option<&mut V> {
         self.slots.get_mut(slot.0)?.as_mut().map(|(_, value)| value)
     }
 
-    /// All values with their keys.
+    /// Iterates over all values with their keys.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.slots
             .iter_mut()
@@ -82,7 +83,7 @@
             .map(|(key, value)| (&*key, value))
     }
 
-    /// Drops the values that `keep` refuses and frees their slots.
+    /// Removes the values for which `keep` returns false and frees their slots.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &V) -> bool) {
         for (position, slot) in self.slots.iter_mut().enumerate() {
             let dropped = slot.take_if(|(key, value)| !keep(key, value));
