--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,5 +1,5 @@
-//! Starts the threads of one entry host, joins them by rings, and stops them without cutting a
-//! request. No decision is taken here: the controller and the workers' steering roles take them.
+//! Starts the threads of one entry host, connects them by rings and stops them without aborting
+//! requests in flight. Decisions are left to the controller and the workers' steering roles.
 
 use std::sync::atomic;
 use std::{collections, net, sync, thread, time};
@@ -26,9 +26,9 @@
 use crate::token::TokenPair;
 use crate::worker::{self, WorkerOrder, WorkerSetup};
 
-/// How often the controller sees time pass.
+/// Interval of the controller's clock ticks.
 const CONTROL_TICK: time::Duration = time::Duration::from_millis(50);
-/// How often workers report.
+/// Interval of the workers' clock ticks, at which they report.
 const WORKER_TICK: time::Duration = time::Duration::from_millis(100);
 
 /// A running entry host.
@@ -43,29 +43,29 @@
 }
 
 impl RunningHost {
-    /// Where callers reach it.
+    /// The address that callers connect to.
     #[must_use]
     pub const fn caller_address(&self) -> net::SocketAddr {
         self.caller_address
     }
 
-    /// Where operators and peers reach it.
+    /// The address that operators and peers connect to.
     #[must_use]
     pub const fn control_address(&self) -> net::SocketAddr {
         self.control_address
     }
 
-    /// Asks it to stop; requests in flight end by themselves.
+    /// Asks the host to stop; requests in flight run to their end.
     pub fn stop(&self) {
         while !self.control.is_closed() && !self.control.tell(ControlInput::Stop) {
             thread::sleep(time::Duration::from_millis(1));
         }
     }
 
-    /// Waits until it has stopped.
+    /// Waits until the host has stopped.
     pub fn join(self) {
         for thread in self.threads {
-            // A thread that panicked has ended too.
+            // A panic ends the thread too; the others are still joined.
             let _outcome = thread.join();
         }
         self.events.write(EventCode::ProcessStopped, String::new());
@@ -75,7 +75,7 @@
     }
 }
 
-/// The listening sockets of a host, and the addresses that they got.
+/// The listening sockets of a host and their bound addresses.
 #[derive(Debug)]
 struct HostSockets {
     callers: net::TcpListener,
@@ -258,7 +258,8 @@
     Ok(handle)
 }
 
-/// Peers keep connections open; those need not end for the process to stop.
+/// Runs `serving` until it ends or a grace period after the stop signal is over. Peers keep their
+/// connections open, so shutdown does not wait for those to close.
 async fn run_until_stop(serving: impl Future<Output = ()>, mut stop: watch::Receiver<bool>) {
     const LAST_ANSWERS: time::Duration = time::Duration::from_millis(500);
     let stopped = async {
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -1,4 +1,4 @@
-//! An accept loop with limits on connections, headers and time, which drains at shutdown.
+//! An accept loop that limits connections, header size and time, and drains at shutdown.
 
 use std::{convert, net, time};
 
@@ -9,12 +9,12 @@
 use hyper_util::server::graceful::GracefulShutdown;
 use tokio::sync::watch;
 
-/// A request's headers must arrive within this time; also the longest idle time of a connection.
+/// Time within which a request's headers must arrive, and the longest idle time of a connection.
 const HEADER_TIME: time::Duration = time::Duration::from_secs(30);
-/// The largest head of a request, in bytes.
+/// The largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
-/// Pause after a failed accept, such as one for want of file descriptors.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(20);
 const BACKLOG: u32 = 4_096;
 
@@ -33,9 +33,10 @@
     socket.listen(BACKLOG)?.into_std()
 }
 
-/// Accepts and serves until `stop` turns true; then lets running requests end.
+/// Accepts and serves connections until `stop` turns true, then waits for requests in flight.
 ///
-/// A connection past `max_connections` is closed unanswered, which proves that nothing was run.
+/// A connection beyond `max_connections` is closed without a response, which proves to the caller
+/// that nothing was run.
 pub async fn serve<H, F, B>(
     listener: tokio::net::TcpListener,
     max_connections: usize,
@@ -74,7 +75,7 @@
             .serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
-            // A broken connection concerns its caller alone, who sees it.
+            // The caller sees a broken connection itself; nobody else is affected.
             let _outcome = watched.await;
         });
     }
--- a/src/silence_probe.rs
+++ b/src/silence_probe.rs
@@ -1,19 +1,19 @@
-//! Lets the kernel break connections whose peer has fallen silent.
+//! TCP keepalive settings, with which the kernel breaks connections whose peer has fallen silent.
 //!
-//! A host behind a cut, or one that lost power, resets nothing: a connection to it stays open and says
-//! nothing for good. Where an answer may take long that can't be told from waiting, so the kernel asks
+//! A host that is partitioned or loses power does not reset its connections; they stay open without
+//! any data. Where a response may take long, this looks the same as waiting, so the kernel probes
 //! the peer's kernel at short intervals.
 
 use std::time;
 
-/// Bytes that the peer does not confirm within this time break the connection.
+/// Data that the peer does not acknowledge within this time breaks the connection.
 const UNCONFIRMED_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// A quiet connection is probed after this time, and then as often.
+/// Idle time before the first probe, and the interval between probes.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Lost probes that break it.
+/// Unanswered probes that break the connection.
 const PROBES: u32 = 2;
 
-/// Has the kernel probe a connection from now on.
+/// Enables keepalive probes on a connection.
 ///
 /// # Errors
 /// When the kernel refuses an option.
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -1,4 +1,5 @@
-//! The timer service: one thread that parts subscribe to, and the clock that it reads.
+//! The timer service: one thread that sends ticks to its subscribers, and the clocks of the
+//! process.
 
 use std::{sync, thread, time};
 
@@ -6,12 +7,12 @@
 
 use crate::ring;
 
-/// A reading of the clock since boot, in milliseconds since the process or test began.
+/// A reading of the boot clock, in milliseconds since the process or test began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// Milliseconds since `earlier`; 0 when that lies ahead.
+    /// Milliseconds since `earlier`; 0 if that is later than this moment.
     #[must_use]
     pub const fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
@@ -29,7 +30,7 @@
         Self(self.0.saturating_add(millis))
     }
 
-    /// The moment `millis` earlier, or the beginning.
+    /// The moment `millis` earlier, or moment zero.
     ///
     /// ```
     /// use ledgespool::timer;
@@ -41,9 +42,10 @@
     }
 }
 
-/// The clock by which promises to other processes are kept: it never goes back, and it counts the time for which
-/// the machine is suspended. By the steady clock, which does not, a host that slept for three seconds would go on
-/// granting from a part of a limit that its owner took back after 0.8 s (by the constants, not measured).
+/// The clock for all timeouts that other processes rely on. It never goes backwards, and it
+/// includes the time for which the machine is suspended. With the monotonic clock, which excludes
+/// it, a host that was suspended for three seconds would go on granting from its share of a limit,
+/// although the owner took that share back after 0.8 s (by the constants).
 ///
 /// ```
 /// use ledgespool::timer;
@@ -57,7 +59,7 @@
 }
 
 impl BootClock {
-    /// Starts at moment zero.
+    /// Starts the clock at moment zero.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -65,14 +67,14 @@
         }
     }
 
-    /// The present moment.
+    /// The current moment.
     #[must_use]
     pub fn now(&self) -> Moment {
         Moment(boot_millis().saturating_sub(self.start_ms))
     }
 }
 
-/// Milliseconds since the machine started, suspended ones included.
+/// Milliseconds since the machine started, including time suspended.
 fn boot_millis() -> u64 {
     let read = rustix::time::clock_gettime(ClockId::Boottime);
     // The time since boot is never negative.
@@ -81,7 +83,7 @@
     seconds * 1_000 + nanos / 1_000_000
 }
 
-/// The wall clock in Unix milliseconds; only claim keys and the time line use it.
+/// The wall clock in Unix milliseconds; only claim keys and the timeline use it.
 #[must_use]
 pub fn unix_millis() -> u64 {
     let elapsed = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
@@ -96,7 +98,7 @@
     notify: Box<dyn FnMut() -> bool + Send>,
 }
 
-/// Collects subscriptions, then runs them on a thread of its own.
+/// Collects subscriptions, then runs them on its own thread.
 #[derive(Default)]
 pub struct TimerService {
     subscriptions: Vec<TimerSubscription>,
@@ -111,7 +113,7 @@
 }
 
 impl TimerService {
-    /// Pushes `make()` into `ring` every `period`. A full ring misses the tick: the next one
+    /// Pushes `make()` into `ring` every `period`. A full ring misses the tick, since the next one
     /// carries a later time anyway. A closed ring ends the subscription.
     pub fn subscribe<T: Send + 'static>(
         &mut self,
