--- a/src/catalogue.rs
+++ b/src/catalogue.rs
@@ -1,11 +1,11 @@
-//! The tables of result codes and events, as the documentation holds them.
+//! Markdown tables of the result codes and events, as the documentation contains them.
 
 use std::fmt::Write as _;
 
 use crate::event::EventCode;
 use crate::result_code::{RequestOutcome, ResultCode};
 
-/// The table of `docs/RESULT-CODES.md`.
+/// The table in `docs/RESULT-CODES.md`.
 ///
 /// ```
 /// use ledgespool::catalogue;
@@ -18,7 +18,7 @@
     );
     for code in ResultCode::ALL {
         let outcome = code.outcome().map_or("", RequestOutcome::as_str);
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ok = writeln!(
             table,
             "| {code} | {} | {outcome} | {} | {} |",
@@ -30,7 +30,7 @@
     table
 }
 
-/// The table of `docs/EVENTS.md`.
+/// The table in `docs/EVENTS.md`.
 ///
 /// ```
 /// use ledgespool::catalogue;
@@ -41,7 +41,7 @@
     let mut table = String::from("| event | level | what happened |\n|---|---|---|\n");
     for event in EventCode::ALL {
         let level = format!("{:?}", event.level()).to_lowercase();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ok = writeln!(table, "| {event} | {level} | {} |", event.text());
     }
     table
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,13 +1,13 @@
-//! Numbered events: what a process logs and shows in the time line.
+//! Numbered events that a process logs and shows in the timeline.
 //!
-//! The catalogue in `docs/EVENTS.md` is held to this module by a test.
+//! A test keeps the catalogue in `docs/EVENTS.md` equal to this module.
 
 use std::fmt;
 
 macro_rules! event_codes {
     ($($name:ident = $number:literal, $level:ident, $text:literal;)+) => {
-        /// One kind of event. The first digit names the area: 1 process, 2 configuration,
-        /// 3 membership, 4 planning, 5 requests, 6 platform.
+        /// One kind of event. The first digit of its number is the area: 1 process, 2
+        /// configuration, 3 membership, 4 planning, 5 requests, 6 platform.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         #[repr(u16)]
         pub enum EventCode {
@@ -15,16 +15,16 @@
         }
 
         impl EventCode {
-            /// Every event, in the order of its number.
+            /// Every event, ordered by number.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// One sentence: what happened.
+            /// A sentence that says what happened.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)+ }
             }
 
-            /// How loud it is logged.
+            /// The severity at which the event is logged.
             #[must_use]
             pub const fn level(self) -> EventLevel {
                 match self { $(Self::$name => EventLevel::$level,)+ }
@@ -33,14 +33,14 @@
     };
 }
 
-/// How loud an event is.
+/// The severity of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventLevel {
-    /// Ordinary work.
+    /// Normal operation.
     Info,
-    /// Something to look at.
+    /// Worth a look.
     Warn,
-    /// Something to act on.
+    /// Needs action.
     Error,
 }
 
--- a/src/event_writer.rs
+++ b/src/event_writer.rs
@@ -1,4 +1,5 @@
-//! The event thread: writes numbered events to the log and keeps the last ones for the time line.
+//! The event thread: writes numbered events to the log and retains the latest ones for the
+//! timeline.
 
 use std::sync;
 use std::sync::atomic;
@@ -11,7 +12,7 @@
 use crate::ring::{self, RingReceiver, RingSender};
 use crate::timeline::{ClockStamp, EventLog, EventRecord, HybridClock};
 
-/// Events that may wait to be written; past that they are dropped and counted.
+/// Events that may wait to be written; further ones are dropped and counted.
 const EVENT_RING: usize = 4_096;
 
 #[derive(Debug)]
@@ -20,7 +21,7 @@
     Read(ClockStamp, oneshot::Sender<Vec<EventRecord>>),
 }
 
-/// The way to the event thread, for all threads of a process.
+/// A handle to the event thread, for all threads of a process.
 #[derive(Debug, Clone)]
 pub struct EventPort {
     ring: RingSender<EventInput>,
@@ -33,14 +34,14 @@
 /// How events are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogStyle {
-    /// One line of JSON for each event on standard error.
+    /// One line of JSON per event on standard error.
     Json,
-    /// Nothing is written; the time line still has everything.
+    /// No log output; the timeline still holds every event.
     Silent,
 }
 
 impl EventPort {
-    /// Logs an event.
+    /// Writes an event to the log and the timeline, without waiting.
     pub fn write(&self, code: EventCode, detail: impl Into<String>) {
         let record = EventRecord {
             stamp: self.clock.tick(),
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Events later than `after`; none when the thread is gone or busy.
+    /// Returns the events later than `after`; none if the event thread has stopped or its ring is
+    /// full.
     pub async fn read(&self, after: ClockStamp) -> Vec<EventRecord> {
         let (sender, receiver) = oneshot::channel();
         if self.ring.push(EventInput::Read(after, sender)).is_err() {
@@ -63,17 +65,17 @@
         receiver.await.unwrap_or_default()
     }
 
-    /// The process's hybrid clock.
+    /// The hybrid clock of the process.
     #[must_use]
     pub const fn clock(&self) -> &HybridClock {
         &self.clock
     }
 }
 
-/// Starts the event thread; it ends when all ports are gone.
+/// Starts the event thread, which ends when all ports are dropped.
 ///
 /// # Errors
-/// When the thread or the logger cannot be made.
+/// When the thread or the logger cannot be created.
 pub fn spawn(host: &str, style: LogStyle) -> std::io::Result<(EventPort, thread::JoinHandle<()>)> {
     let (ring, receiver) = ring::with_capacity(EVENT_RING);
     let port = EventPort {
@@ -128,7 +130,7 @@
                 log.push(record);
             }
             EventInput::Read(after, sender) => {
-                // A reader that went away needs no answer.
+                // The reader may have gone away in the meantime.
                 let _gone = sender.send(log.since(after));
             }
         }
--- a/src/result_code.rs
+++ b/src/result_code.rs
@@ -1,6 +1,6 @@
 //! Numbered result codes: every refusal, fault and outcome that leaves a process carries one.
 //!
-//! The table in `docs/RESULT-CODES.md` is held to this module by a test.
+//! A test keeps the table in `docs/RESULT-CODES.md` equal to this module.
 
 use std::fmt;
 
@@ -9,9 +9,10 @@
 pub enum RequestOutcome {
     /// The whole answer of a backend server was delivered.
     Answered,
-    /// Proved: the request was never written to a backend server, or the server shed it unrun.
+    /// It is proved that the request did not run: it was never written to a backend server, or the
+    /// server shed it.
     NotRun,
-    /// The request was sent and no trustworthy answer came back.
+    /// The request was sent and no valid answer was received.
     Unknown,
 }
 
@@ -32,13 +33,13 @@
     }
 }
 
-/// Carries the code of an answer that the entry host made itself.
+/// The header with the code of an answer that the entry host itself created.
 pub const CODE_HEADER: &str = "x-ledgespool-code";
 
 macro_rules! result_codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $status:literal, $outcome:expr, $text:literal, $advice:literal;)+) => {
-        /// One numbered result. The first digit names the area: 1 input files, 2 callers,
-        /// 3 operators, 4 platform and peers.
+        /// One numbered result. The first digit is the area: 1 input files, 2 callers, 3 operators,
+        /// 4 platform and peers.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         #[repr(u16)]
         pub enum ResultCode {
@@ -46,28 +47,28 @@
         }
 
         impl ResultCode {
-            /// Every code, in the order of its number.
+            /// Every code, ordered by number.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// The HTTP status that a caller or operator sees with this code.
+            /// The HTTP status that a caller or operator receives with this code.
             #[must_use]
             pub const fn http_status(self) -> u16 {
                 match self { $(Self::$name => $status,)+ }
             }
 
-            /// What the code proves about a caller's request; `None` where no request is concerned.
+            /// What the code proves about a caller's request; `None` if no request is concerned.
             #[must_use]
             pub const fn outcome(self) -> Option<RequestOutcome> {
                 match self { $(Self::$name => $outcome,)+ }
             }
 
-            /// One sentence: what happened.
+            /// A sentence that says what happened.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)+ }
             }
 
-            /// One sentence: what to do about it.
+            /// A sentence that says what to do about it.
             #[must_use]
             pub const fn advice(self) -> &'static str {
                 match self { $(Self::$name => $advice,)+ }
