--- a/src/openrpc.rs
+++ b/src/openrpc.rs
@@ -1,4 +1,4 @@
-//! Prints the `OpenRPC` document of the control listener from the types of [`crate::rpc`].
+//! Generates the `OpenRPC` document of the control listener from the types in [`crate::rpc`].
 
 use schemars::JsonSchema;
 use schemars::generate::{SchemaGenerator, SchemaSettings};
@@ -17,7 +17,7 @@
     operators' methods, the hosts' for peers' methods. Durations are milliseconds, stamps hybrid \
     clocks (Unix milliseconds in the upper 48 bits). Batches are refused.";
 
-/// The document as committed in `schema/openrpc.json`.
+/// The document that `schema/openrpc.json` contains.
 #[must_use]
 pub fn document_text() -> String {
     serde_json::to_string_pretty(&document()).unwrap_or_default()
@@ -84,7 +84,7 @@
     })
 }
 
-/// Collects the types that methods share.
+/// Collects the schemas of types that several methods use.
 struct SchemaBook {
     generator: SchemaGenerator,
 }
@@ -114,7 +114,7 @@
         })
     }
 
-    /// One parameter for each field of the parameter type.
+    /// One parameter per field of the parameter type.
     fn parameters<P: JsonSchema>(&mut self) -> Vec<Value> {
         let schema = P::json_schema(&mut self.generator).to_value();
         let required = schema.get("required").and_then(Value::as_array);
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -1,6 +1,6 @@
-//! The remote procedure calls of the control listener: operators' and peers' methods.
+//! The JSON-RPC methods of the control listener, for operators and for peers.
 //!
-//! `schema/openrpc.json` is printed from these types and held to them by a test.
+//! `schema/openrpc.json` is generated from these types; a test keeps the two equal.
 
 use std::sync;
 
@@ -22,14 +22,14 @@
 use crate::timeline::{ClockStamp, EventRecord};
 use crate::token::CallerRole;
 
-/// Come-back time of a refused call, in milliseconds.
+/// Time after which a refused call may be retried, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
 /// Names of the methods.
 pub mod method {
     /// The host's state.
     pub const STATUS: &str = "status";
-    /// The configuration in force.
+    /// The active configuration.
     pub const DECLARATION: &str = "declaration";
     /// Change the configuration.
     pub const CHANGE: &str = "change";
@@ -39,11 +39,11 @@
     pub const HEARTBEAT: &str = "peer_heartbeat";
     /// A peer's report to the planner.
     pub const REPORT: &str = "peer_report";
-    /// A peer asks for the configuration.
+    /// A peer's request for the configuration.
     pub const FETCH: &str = "peer_fetch";
-    /// A peer passes a claim on.
+    /// A claim that a peer forwards.
     pub const CLAIM: &str = "peer_claim";
-    /// A peer passes the outcome of a claimed request on.
+    /// The outcome of a claimed request that a peer forwards.
     pub const SETTLE: &str = "peer_settle";
 }
 
@@ -51,21 +51,21 @@
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeParams {
-    /// An id of the caller's own: the same id takes effect at most once.
+    /// An id chosen by the caller; operations with the same id take effect at most once.
     pub operation: String,
-    /// The generation that the change was made for; absent to change whatever is in force.
+    /// The generation that the change is based on; absent to change the active one.
     #[serde(default)]
     pub expected_generation: Option<u64>,
     /// The change.
     pub change: ConfigChange,
 }
 
-/// The answer of `change`.
+/// The result of `change`.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 pub struct ChangeResult {
-    /// The generation that it made.
+    /// The generation that the change created.
     pub generation: u64,
 }
 
@@ -75,7 +75,7 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct TimelineParams {
-    /// Only events later than this stamp; 0 for all that are kept.
+    /// Only events later than this stamp; 0 for all retained events.
     #[serde(default)]
     pub after: ClockStamp,
 }
@@ -111,25 +111,25 @@
 #[serde(deny_unknown_fields)]
 pub struct NoParams {}
 
-/// Particulars of an error, in its `data`.
+/// Details of an error, in its `data`.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 pub struct ErrorData {
     /// The numbered code, such as `LS3002`.
     pub code: String,
-    /// What to do.
+    /// What to do about the error.
     pub advice: String,
-    /// When to come back, in milliseconds, where that can help.
+    /// When to retry, in milliseconds, if a retry can help.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What the methods work with.
+/// What the methods have access to.
 #[derive(Debug, Clone)]
 pub struct RpcContext {
-    /// The way to the controller.
+    /// The port of the controller.
     pub control: ControlPort,
-    /// The way to the event thread.
+    /// The port of the event thread.
     pub events: EventPort,
 }
 
@@ -152,7 +152,7 @@
 
 type RpcResult<T> = Result<T, ErrorObjectOwned>;
 
-/// Reads the parameters after checking that the caller has the right.
+/// Parses the parameters after checking that the caller has the required role.
 fn checked<T: serde::de::DeserializeOwned>(
     params: &Params<'_>,
     extensions: &Extensions,
@@ -179,7 +179,7 @@
     Err(error_object(ResultCode::ControlBusy, ""))
 }
 
-/// All methods of the control listener.
+/// Builds the module with all methods of the control listener.
 ///
 /// # Errors
 /// When a name is registered twice.
@@ -310,7 +310,7 @@
     }
 }
 
-/// Notes a call without a valid token in the time line.
+/// Records a call without a valid token in the timeline.
 pub fn note_refused_token(events: &EventPort, peer: std::net::SocketAddr) {
     events.write(EventCode::TokenRefused, peer.ip().to_string());
 }
--- a/src/rpc_client.rs
+++ b/src/rpc_client.rs
@@ -1,4 +1,4 @@
-//! Calls the control listener of an entry host, as an operator or as a peer.
+//! A client for the control listener of an entry host, for operators and peers.
 
 use std::{net, time};
 
@@ -12,7 +12,7 @@
 use crate::result_code::ResultCode;
 use crate::rpc;
 
-/// The largest message either way.
+/// The largest message in either direction, in bytes.
 const MAX_MESSAGE_BYTES: u32 = 4 * plan::MAX_OBJECT_BYTES as u32;
 
 /// A client of one entry host.
@@ -22,7 +22,7 @@
     client: HttpClient,
 }
 
-/// A call that failed, with what the host said about it.
+/// A failed call, with the details that the host returned.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{code} {detail}")]
 pub struct CallFault {
@@ -30,7 +30,7 @@
     pub code: ResultCode,
     /// Details.
     pub detail: String,
-    /// When to come back, in milliseconds, where that can help.
+    /// When to retry, in milliseconds, if a retry can help.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -41,10 +41,10 @@
 }
 
 impl ControlClient {
-    /// A client that presents `token`; no connection is made yet.
+    /// Creates a client that presents `token`; no connection is opened yet.
     ///
     /// # Errors
-    /// `ParameterInvalid` when the token can't stand in a header.
+    /// `ParameterInvalid` when the token is not a valid header value.
     pub fn new(
         address: net::SocketAddr,
         token: &str,
--- a/src/rpc_server.rs
+++ b/src/rpc_server.rs
@@ -1,4 +1,5 @@
-//! The control listener: jsonrpsee's service behind our accept loop, token check and limits.
+//! The control listener: jsonrpsee's service behind this crate's accept loop, token check and
+//! limits.
 
 use std::convert::Infallible;
 use std::net;
@@ -18,11 +19,11 @@
 use crate::rpc::{self, RpcContext};
 use crate::token::TokenPair;
 
-/// The largest call: a declaration of a megabyte and its frame.
+/// The largest call, in bytes: a declaration of a megabyte and the JSON around it.
 const MAX_CALL_BYTES: u32 = plan::MAX_OBJECT_BYTES as u32 + 64 * 1024;
-/// The largest answer: a configuration, or the whole time line.
+/// The largest answer, in bytes: a configuration, or the whole timeline.
 const MAX_ANSWER_BYTES: u32 = 4 * plan::MAX_OBJECT_BYTES as u32;
-/// A call's body must arrive, and its answer be made, within this time.
+/// Timeout for receiving a call's body and producing its answer.
 const CALL_LIMIT: std::time::Duration = std::time::Duration::from_secs(15);
 const MAX_CONNECTIONS: usize = 2_048;
 
@@ -88,7 +89,7 @@
     }
 }
 
-/// A JSON-RPC error that belongs to no call.
+/// A JSON-RPC error for a request that was refused before its call was parsed.
 fn refusal(code: ResultCode) -> http::Response<AnswerBody> {
     let error = rpc::error_object(code, "");
     let body = serde_json::json!({ "jsonrpc": "2.0", "id": null, "error": error });
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,9 +1,9 @@
 //! One ordered view of the events of all processes.
 //!
 //! Each event carries a hybrid logical clock (Kulkarni et al., 2014): the wall clock, moved ahead
-//! of every stamp that the process has received from a peer. An effect is thereby never stamped
-//! before its cause, however far the hosts' clocks differ. The order is stamp, then host, then
-//! the host's own count.
+//! of every stamp that the process has received from a peer. An effect is therefore never stamped
+//! before its cause, however far the hosts' clocks differ. Events are ordered by stamp, then host,
+//! then the host's event number.
 
 use std::sync::atomic;
 use std::{collections, sync};
@@ -11,7 +11,7 @@
 use crate::event;
 use crate::timer;
 
-/// Events that each process keeps in memory.
+/// Events that each process retains in memory.
 pub const KEPT_EVENTS: usize = 4_096;
 const COUNTER_BITS: u32 = 16;
 
@@ -33,7 +33,7 @@
 pub struct ClockStamp(pub u64);
 
 impl ClockStamp {
-    /// The Unix milliseconds in it.
+    /// The Unix milliseconds of the stamp.
     #[must_use]
     pub const fn unix_millis(self) -> u64 {
         self.0 >> COUNTER_BITS
@@ -47,7 +47,7 @@
 }
 
 impl HybridClock {
-    /// A stamp later than all before.
+    /// Returns a stamp later than all previous ones.
     #[must_use]
     pub fn tick(&self) -> ClockStamp {
         let wall = timer::unix_millis() << COUNTER_BITS;
@@ -59,8 +59,9 @@
         ClockStamp(wall.max(last + 1))
     }
 
-    /// Moves past a stamp received from another process. One that lies more than a minute ahead
-    /// of this host's wall clock is ignored: a broken clock must not pull all others along.
+    /// Advances the clock past a stamp received from another process. A stamp more than a minute
+    /// ahead of this host's wall clock is ignored, so that one broken clock does not move all
+    /// others.
     pub fn observe(&self, stamp: ClockStamp) {
         const MAX_AHEAD_MS: u64 = 60_000;
         if stamp.unix_millis() <= timer::unix_millis() + MAX_AHEAD_MS {
@@ -69,25 +70,25 @@
     }
 }
 
-/// One event as kept and shown.
+/// One event, as stored and shown.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 pub struct EventRecord {
-    /// When, by the hybrid clock.
+    /// When the event happened, by the hybrid clock.
     pub stamp: ClockStamp,
-    /// The process's host.
+    /// The host whose process wrote the event.
     pub host: String,
-    /// Counts within the process.
+    /// Sequence number within the process.
     pub number: u64,
     /// The event's number, such as 2001.
     pub event: u16,
-    /// Particulars.
+    /// Details.
     pub detail: String,
 }
 
 impl EventRecord {
-    /// The sentence of the catalogue.
+    /// The event's sentence in the catalogue.
     #[must_use]
     pub fn text(&self) -> &'static str {
         let known = event::EventCode::ALL
@@ -97,7 +98,7 @@
     }
 }
 
-/// Merges the events of several processes into the stated order.
+/// Merges the events of several processes, ordered by stamp, host and number.
 ///
 /// ```
 /// use ledgespool::timeline;
@@ -119,14 +120,14 @@
     merged
 }
 
-/// The last events of one process, at most [`KEPT_EVENTS`].
+/// The latest events of one process, at most [`KEPT_EVENTS`].
 #[derive(Debug, Default)]
 pub struct EventLog {
     records: collections::VecDeque<EventRecord>,
 }
 
 impl EventLog {
-    /// Adds an event; the oldest makes room.
+    /// Adds an event; when full, the oldest is removed.
     pub fn push(&mut self, record: EventRecord) {
         if self.records.len() == KEPT_EVENTS {
             self.records.pop_front();
@@ -134,7 +135,7 @@
         self.records.push_back(record);
     }
 
-    /// Events later than `after`.
+    /// Returns the events later than `after`.
     #[must_use]
     pub fn since(&self, after: ClockStamp) -> Vec<EventRecord> {
         self.records
