--- a/src/connection_headers.rs
+++ b/src/connection_headers.rs
@@ -1,6 +1,6 @@
-//! Headers that concern one connection and are not passed on.
+//! Removes the headers that concern a single connection and must not be forwarded.
 
-/// Headers of one connection only (RFC 9110, section 7.6.1) stay behind.
+/// Removes the hop-by-hop headers (RFC 9110, section 7.6.1).
 pub(crate) fn end_to_end(headers: &http::HeaderMap) -> http::HeaderMap {
     const ONE_CONNECTION: [&str; 8] = [
         "connection",
@@ -29,8 +29,8 @@
     kept
 }
 
-/// The headers that go on to a server with a body of known length: those of the connection stay
-/// behind, and so do those that the client library writes itself or that were for this hop's proxy.
+/// The headers that are forwarded to a server with a body of known length. Removed are the
+/// hop-by-hop headers, those that the client library writes itself and those meant for this proxy.
 pub(crate) fn to_server(headers: &http::HeaderMap) -> http::HeaderMap {
     let mut kept = end_to_end(headers);
     kept.remove(http::header::CONTENT_LENGTH);
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP/1.1 exchanges with a time limit, on hyper's client connections.
+//! Small HTTP/1.1 exchanges with a timeout, on hyper's client connections.
 
 use std::{net, time};
 
@@ -9,27 +9,29 @@
 
 use crate::silence_probe;
 
-/// The largest head of an answer, in bytes.
+/// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// The sending half of a client connection.
 pub type ClientSender = http1::SendRequest<Full<Bytes>>;
 
-/// Why an exchange failed, by what it proves.
+/// Why an exchange failed, by whether the request may have reached the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeFault {
     /// The request was never written.
     NotSent,
-    /// The request may have been received.
+    /// The request may have reached the server.
     Lost,
 }
 
-/// Opens a connection; its driver runs as a task until the connection ends. The kernel probes it: an
-/// answer may take long, as that of a watch does. Without probes a watch that fell silent for good
-/// was found after 6.1 s, and with them after 3.0 s (all connections of nine simulated hosts silenced).
+/// Opens a connection, whose driver runs as a task until the connection closes.
+///
+/// TCP keepalive is on, because a response may take long, as that of a watch does. Without
+/// keepalive a watch whose peer fell silent was detected after 6.1 s, with it after 3.0 s (all
+/// connections of nine simulated hosts silenced).
 ///
 /// # Errors
-/// `NotSent` when it cannot be opened in time.
+/// `NotSent` when the connection cannot be opened in time.
 pub async fn connect(
     address: net::SocketAddr,
     limit: time::Duration,
@@ -46,13 +48,13 @@
     let opened = tokio::time::timeout(limit, opening).await;
     let (sender, connection) = opened.ok().flatten().ok_or(ExchangeFault::NotSent)?;
     tokio::spawn(async move {
-        // The sender learns of a broken connection by its own request.
+        // A broken connection fails the sender's own request.
         let _outcome = connection.await;
     });
     Ok(sender)
 }
 
-/// A whole small answer.
+/// A whole small response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SmallAnswer {
     /// The HTTP status.
@@ -63,11 +65,11 @@
     pub body: Bytes,
 }
 
-/// Sends one request on a connection of its own and reads the whole answer, of at most
-/// `max_bytes`, within `limit`.
+/// Sends one request on a new connection and reads the whole response, of at most `max_bytes`,
+/// within `timeout`.
 ///
 /// # Errors
-/// [`ExchangeFault`] by what it proves.
+/// [`ExchangeFault`], which tells whether the request may have reached the server.
 pub async fn exchange(
     address: net::SocketAddr,
     request: http::Request<Full<Bytes>>,
@@ -81,10 +83,10 @@
     answered.unwrap_or(Err(ExchangeFault::Lost))
 }
 
-/// Sends one request on an open connection and reads the whole answer.
+/// Sends one request on an open connection and reads the whole response.
 ///
 /// # Errors
-/// [`ExchangeFault`] by what it proves.
+/// [`ExchangeFault`], which tells whether the request may have reached the server.
 pub async fn read_answer(
     sender: &mut ClientSender,
     request: http::Request<Full<Bytes>>,
--- a/src/peer_link.rs
+++ b/src/peer_link.rs
@@ -13,11 +13,11 @@
 use crate::rpc::{NoParams, StampedHeartbeat, method};
 use crate::rpc_client::ControlClient;
 
-/// Messages that may wait to be sent. When it is full, a message counts as unanswered.
+/// Messages that may wait to be sent. When the ring is full, a message counts as unanswered.
 const PEER_RING: usize = 4_096;
-/// A peer that takes longer has missed the message.
+/// Timeout of a small message to a peer.
 const PEER_LIMIT: time::Duration = time::Duration::from_millis(400);
-/// A configuration may take longer: it can be a megabyte.
+/// Timeout of a configuration, which can be a megabyte.
 const FETCH_LIMIT: time::Duration = time::Duration::from_millis(1_500);
 
 /// A message to another entry host.
@@ -29,15 +29,15 @@
     Report(net::SocketAddr, HostReport),
     /// A request for the configuration.
     Fetch(net::SocketAddr),
-    /// A claim for the owner of its shard.
+    /// A claim, for the owner of its shard.
     Claim(u64, net::SocketAddr, PeerClaim),
-    /// An outcome for the owner of its shard.
+    /// The outcome of a claimed request, for the owner of its shard.
     Settle(net::SocketAddr, PeerSettle),
 }
 
 impl PeerMessage {
-    /// What the controller is told when the message could not be sent; an outcome that is lost
-    /// leaves its claim pending, which is safe.
+    /// The input that reports to the controller that the message could not be sent. A lost outcome
+    /// is not reported: its claim stays pending, which is safe.
     #[must_use]
     pub fn into_failure(self) -> Option<ControlInput> {
         match self {
@@ -57,7 +57,7 @@
     clients: cell::RefCell<collections::HashMap<(net::SocketAddr, time::Duration), ControlClient>>,
 }
 
-/// Starts the peer thread; it ends when the ring's senders are gone.
+/// Starts the peer thread, which ends when the senders of its ring are dropped.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -163,7 +163,8 @@
         client.call(name, params).await.ok()
     }
 
-    /// One client for each peer and limit: at most a few for each host that is known.
+    /// Returns the cached client of a peer and timeout. The timeout is rounded up, so that each
+    /// known host has a few clients at most.
     fn client(&self, address: net::SocketAddr, limit: time::Duration) -> Option<ControlClient> {
         const ROUNDING_MS: u128 = 100;
         let rounded = limit.as_millis().div_ceil(ROUNDING_MS) * ROUNDING_MS;
--- a/src/platform_call.rs
+++ b/src/platform_call.rs
@@ -1,4 +1,4 @@
-//! What the roles ask of the platform's object API, and what comes of it.
+//! Calls that the controller's roles make to the platform's object API, and their results.
 
 use crate::roster;
 
@@ -7,11 +7,11 @@
 pub struct ObjectName {
     /// The kind, such as `steer`.
     pub kind: &'static str,
-    /// The name within the kind.
+    /// The name, unique within the kind.
     pub name: String,
 }
 
-/// The kind of the objects that all hosts follow.
+/// The kind of the objects that all hosts watch.
 pub const STEER_KIND: &str = "steer";
 /// The kind of the claim shards.
 pub const CLAIM_KIND: &str = "claim";
@@ -45,10 +45,10 @@
     }
 }
 
-/// How a read ended.
+/// The result of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadResult {
-    /// The object as it stands.
+    /// The object exists.
     Found {
         /// Its content.
         bytes: Vec<u8>,
@@ -57,25 +57,25 @@
     },
     /// There is no such object.
     Absent,
-    /// The platform gave no answer.
+    /// The platform did not answer.
     Failed,
 }
 
-/// How a conditional write ended.
+/// The result of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect.
+    /// The write took effect.
     Stored {
         /// The object's new version.
         version: u64,
     },
-    /// The object was not at the expected version; nothing changed.
+    /// The object did not have the expected version; nothing changed.
     Conflict,
-    /// No answer: it may have taken effect, now or later.
+    /// No answer: the write may have taken effect, or may do so later.
     Uncertain,
 }
 
-/// An object that a watch saw change.
+/// A changed object that a watch returned.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct WatchedObject {
     /// Its name within the watched kind.
@@ -86,49 +86,49 @@
     pub value: serde_json::Value,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct WatchReply {
-    /// Pass this to the next watch.
+    /// The revision to pass to the next watch.
     pub revision: u64,
-    /// Objects changed since.
+    /// The objects that changed since the given revision.
     pub objects: Vec<WatchedObject>,
 }
 
-/// One call.
+/// One call to the object API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformCall {
     /// Read an object.
     Read(ObjectName),
-    /// Write an object if it stands at the expected version.
+    /// Write an object if it has the expected version.
     Write {
         /// The object.
         object: ObjectName,
-        /// New content: JSON.
+        /// The new content, as JSON.
         bytes: Vec<u8>,
-        /// The version to replace; `None` when there must be no object.
+        /// The version to replace; `None` if the object must not exist.
         expected: Option<u64>,
     },
-    /// Wait for changes of a kind past a revision.
+    /// Wait for changes of a kind after a revision.
     Watch {
         /// The kind.
         kind: &'static str,
-        /// The revision of the last reply; 0 for all that is there.
+        /// The revision of the last reply; 0 for all existing objects.
         after: u64,
     },
     /// Read the list of hosts.
     Hosts,
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformReply {
-    /// Of a read.
+    /// The result of a read.
     Read(ReadResult),
-    /// Of a write.
+    /// The result of a write.
     Write(WriteResult),
-    /// Of a watch; `None` when it failed.
+    /// The result of a watch; `None` if it failed.
     Watch(Option<WatchReply>),
-    /// Of the host list; `None` when it failed.
+    /// The list of hosts; `None` if the call failed.
     Hosts(Option<roster::HostList>),
 }
--- a/src/platform_client.rs
+++ b/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Speaks to the platform's object API: HTTP with entity tags as versions.
+//! A client of the platform's object API, which is HTTP with entity tags as versions.
 //!
 //! | call | request | answer |
 //! |---|---|---|
@@ -19,14 +19,14 @@
 };
 use crate::roster;
 
-/// Time limit of a call that does not wait for changes.
+/// Timeout of a call that does not wait for changes.
 const CALL_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// How long a watch waits for changes.
+/// How long the platform holds a watch open while nothing changes, in milliseconds.
 pub const WATCH_WAIT_MS: u64 = 10_000;
 const WATCH_LIMIT: time::Duration = time::Duration::from_millis(WATCH_WAIT_MS + 2_000);
-/// The largest answer: a megabyte for each of the watched objects, and their frame.
+/// The largest response, in bytes: up to one megabyte per watched object, and the JSON around them.
 const MAX_ANSWER_BYTES: usize = 4 * plan::MAX_OBJECT_BYTES;
-/// Open connections kept for the next calls.
+/// Idle connections that are retained for later calls.
 const MAX_IDLE: usize = 8;
 
 /// A client of the platform, used from one thread.
@@ -37,7 +37,7 @@
 }
 
 impl PlatformClient {
-    /// A client without open connections.
+    /// Creates a client without open connections.
     #[must_use]
     pub const fn with_address(address: net::SocketAddr) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Makes a call; every failure has its place in the reply.
+    /// Makes a call; every failure is expressed in the reply.
     pub async fn call(&self, call: &PlatformCall) -> PlatformReply {
         match call {
             PlatformCall::Read(object) => PlatformReply::Read(self.read(object).await),
@@ -126,8 +126,8 @@
         parse_body(&answer)
     }
 
-    /// Uses an idle connection if there is a sound one. A call whose connection broke is not
-    /// repeated here: what a lost write means is for the roles to decide.
+    /// Sends on an idle connection if one is usable, else on a new one. A call whose connection
+    /// broke is not retried here, since only the roles can decide what a lost write means.
     async fn send(
         &self,
         request: http::Request<Full<Bytes>>,
@@ -177,7 +177,7 @@
     format!("/v1/objects/{}/{}", object.kind, object.name)
 }
 
-/// What must hold of an object for a request to it to take effect.
+/// The condition under which a request takes effect.
 #[derive(Debug, Clone, Copy)]
 enum WritePrecondition {
     Unconditional,
--- a/src/platform_link.rs
+++ b/src/platform_link.rs
@@ -8,21 +8,21 @@
 use crate::port::ControlPort;
 use crate::ring::{self, RingReceiver, RingSender};
 
-/// Calls that may wait. When it is full, a call counts as failed.
+/// Calls that may wait. When the ring is full, a call counts as failed.
 const PLATFORM_RING: usize = 1_024;
 
-/// A call with its purpose.
+/// A call and its purpose.
 #[derive(Debug)]
 pub struct PurposedCall {
-    /// What it is for.
+    /// What the call is for.
     pub purpose: CallPurpose,
     /// The call.
     pub call: PlatformCall,
 }
 
 impl PurposedCall {
-    /// The reply of a call that could not even be queued. A write was surely not made, but
-    /// `Uncertain` says nothing false and lets the role look.
+    /// The reply to a call that could not be queued. Such a write certainly did not happen, but
+    /// `Uncertain` is a valid answer too and makes the role check the object.
     #[must_use]
     pub const fn failure(&self) -> PlatformReply {
         match self.call {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Starts the platform thread; it ends when the ring's senders are gone.
+/// Starts the platform thread, which ends when the senders of its ring are dropped.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -71,7 +71,8 @@
     }
 }
 
-/// Roles wait for each reply, so one that finds the ring full is tried again.
+/// Delivers a reply to the controller, and retries while its ring is full, because roles wait for
+/// every reply.
 async fn deliver(control: &ControlPort, purpose: CallPurpose, reply: PlatformReply) {
     const PAUSE: std::time::Duration = std::time::Duration::from_millis(5);
     while !control.is_closed() {
