--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The library's one error type and its `Result` alias.
+//! The library's error type and its `Result` alias.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 /// A result whose error is [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Everything that can go wrong in the library, each with a numbered code.
+/// Every error of the library, each with a numbered code.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// One fault with its code.
@@ -16,7 +16,7 @@
     Coded {
         /// The numbered code.
         code: result_code::ResultCode,
-        /// What exactly was wrong.
+        /// What exactly is wrong.
         detail: String,
     },
     /// All faults found in settings or declaration files.
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The code that stands for this error.
+    /// The numbered code of this error.
     #[must_use]
     pub fn code(&self) -> result_code::ResultCode {
         match self {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! ledgespool steers callers with long sessions to healthy backend servers.
+//! ledgespool routes callers with long sessions to healthy backend servers.
 //!
-//! The modules follow the path of a request: a [`declaration`] says what exists.
+//! The modules follow the path of a request: a [`declaration`] describes services, servers and
+//! limits.
 
 pub mod allocation;
 pub mod block_map;
--- a/src/line_chart.rs
+++ b/src/line_chart.rs
@@ -1,4 +1,4 @@
-//! Line charts in SVG files, for the commands that draw what they measured.
+//! Line charts as SVG files, for commands that plot measurements.
 
 use std::path;
 
@@ -9,7 +9,7 @@
 
 /// Width and height, in pixels.
 const SIZE: (u32, u32) = (1_000, 420);
-/// The colours of the lines; those past the last have the last.
+/// The colours of the curves; curves beyond the last colour are black.
 const COLOURS: [RGBColor; 7] = [
     RGBColor(230, 159, 0),
     RGBColor(86, 180, 233),
@@ -19,33 +19,33 @@
     RGBColor(120, 120, 120),
     BLACK,
 ];
-/// The axes end this much behind the largest value, as a share of it.
+/// Space above the largest value on the vertical axis, as a fraction of that value.
 const MARGIN: f64 = 0.05;
 
-/// A chart.
+/// A line chart.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LineChart<'a> {
-    /// What it shows.
+    /// The caption.
     pub title: &'a str,
-    /// The horizontal axis.
+    /// The label of the horizontal axis.
     pub x_name: &'a str,
-    /// The vertical axis.
+    /// The label of the vertical axis.
     pub y_name: &'a str,
-    /// The lines.
+    /// The curves.
     pub curves: Vec<ChartCurve<'a>>,
 }
 
-/// One line of a chart.
+/// One curve of a chart.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChartCurve<'a> {
-    /// Its name in the legend.
+    /// The name in the legend.
     pub name: &'a str,
-    /// Its points, by the horizontal axis.
+    /// The points, in the order of the horizontal axis.
     pub points: Vec<(f64, f64)>,
 }
 
 impl LineChart<'_> {
-    /// Draws the chart into an SVG file. Both axes begin at 0 and reach 1 at least.
+    /// Draws the chart into an SVG file. Both axes start at 0 and reach at least 1.
     ///
     /// # Errors
     /// `FileUnwritable` when the file cannot be written.
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a worker by `cadence`, in the statsd format over UDP.
+//! Metrics of a worker, sent by `cadence` in the statsd format over UDP.
 
 use std::net;
 
@@ -9,14 +9,14 @@
 
 const PREFIX: &str = "ledgespool";
 
-/// Counters and timings of one worker; without an address they cost nothing.
+/// Counters and timings of one worker. Without an address nothing is collected.
 #[derive(Debug)]
 pub struct WorkerMetrics {
     client: Option<cadence::StatsdClient>,
 }
 
 impl WorkerMetrics {
-    /// Sends to the address in the settings, or nowhere.
+    /// Sends to the address in the settings; without one, sends nothing.
     #[must_use]
     pub fn from_settings(settings: &settings::HostSettings) -> Self {
         let sink = settings.metrics_address.and_then(udp_sink);
@@ -28,13 +28,13 @@
         Self { client }
     }
 
-    /// Whether anything is sent.
+    /// Whether metrics are sent.
     #[must_use]
     pub const fn is_on(&self) -> bool {
         self.client.is_some()
     }
 
-    /// A request ended with `code`, `millis` after it came.
+    /// Records a request that finished with `code`, `millis` after it arrived.
     pub fn on_request(&self, service: &str, class: &str, code: ResultCode, millis: u64) {
         let Some(client) = &self.client else {
             return;
@@ -53,7 +53,7 @@
             .send();
     }
 
-    /// A place's headroom in the worker's slice: units granted and not in use.
+    /// Records the headroom of a place in this worker's slice: units granted and not in use.
     pub fn on_headroom(&self, place: &str, units: u64) {
         if let Some(client) = &self.client {
             client
@@ -64,7 +64,8 @@
     }
 }
 
-/// A buffered sink behind a bounded queue of its own thread: the request path never waits for it.
+/// A buffered sink behind a bounded queue with its own thread, so that the request path never waits
+/// for it.
 fn udp_sink(address: net::SocketAddr) -> Option<cadence::QueuingMetricSink> {
     const QUEUE: usize = 4_096;
     let local = if address.is_ipv4() {
--- a/src/object_reader.rs
+++ b/src/object_reader.rs
@@ -1,4 +1,5 @@
-//! Reading JSON with comments into typed values, field by field, with every fault at its place.
+//! Reads JSON with comments into typed values, field by field, and reports every fault with its
+//! position.
 
 use std::{borrow, fmt, net, ops, str, time};
 
@@ -9,10 +10,10 @@
 use crate::result_code::ResultCode;
 use crate::source::{self, ProblemList, SourceSpan, SourceText};
 
-/// What a field of whole numbers must be, for messages.
+/// The expected type of integer fields, for error messages.
 const WHOLE: &str = "a whole number";
 
-/// Deepest nesting of an input, so that a hostile file cannot exhaust the stack.
+/// The deepest nesting of an input; without this limit a hostile file could exhaust the stack.
 const MAX_DEPTH: usize = 32;
 
 /// Parses one text and hands its top object to `read`; `None` when it holds none.
@@ -67,7 +68,7 @@
     Some(result)
 }
 
-/// Reads a source that holds one object, and nothing of it if anything is wrong.
+/// Reads a source that holds one object; any fault rejects the whole source.
 ///
 /// # Errors
 /// `Rejected` with every fault.
@@ -95,7 +96,7 @@
     deepest
 }
 
-/// Reads the fields of one object; what is not read is an unknown field.
+/// Reads the fields of one object; a field that was not read is reported as unknown.
 #[derive(Debug)]
 pub struct ObjectReader<'r, 't> {
     file: usize,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Where the whole object stands.
+    /// The position of the whole object.
     #[must_use]
     pub fn span(&self) -> SourceSpan {
         span_of(self.file, self.object.range)
@@ -144,7 +145,7 @@
         value
     }
 
-    /// Records a fault at a value of this object.
+    /// Records a fault that concerns this object as a whole.
     pub fn fault(&mut self, code: ResultCode, message: impl Into<String>) {
         let span = self.span();
         self.problems.push(code, message, Some(span));
@@ -155,7 +156,7 @@
         self.problems.push(code, message, Some(span));
     }
 
-    /// A required string; empty when it was faulty.
+    /// A required string; empty if it was faulty.
     pub fn string(&mut self, name: &'static str) -> String {
         let value = self.required(name);
         self.as_string(name, value).unwrap_or_default()
@@ -181,14 +182,14 @@
         }
     }
 
-    /// A required whole number within `range`.
+    /// A required integer within `range`.
     pub fn integer(&mut self, name: &'static str, range: ops::RangeInclusive<u32>) -> u32 {
         let value = self.required(name);
         let number = value.and_then(|value| self.number_within(name, value, &range, WHOLE));
         number.unwrap_or(*range.start())
     }
 
-    /// An optional whole number within `range`.
+    /// An optional integer within `range`.
     pub fn optional_integer(
         &mut self,
         name: &'static str,
@@ -219,7 +220,7 @@
         number
     }
 
-    /// An optional share between 0 and 1.
+    /// An optional number between 0 and 1.
     pub fn optional_share(&mut self, name: &'static str) -> Option<f64> {
         self.optional_number(name, 0.0..=1.0)
     }
@@ -252,7 +253,7 @@
 
     /// A required duration such as `"250ms"`.
     pub fn duration(&mut self, name: &'static str) -> time::Duration {
-        // Only one fault for one value: the stand-in passes every range check.
+        // The placeholder passes every range check, so that one value reports only one fault.
         const FAULTY: time::Duration = time::Duration::from_secs(1);
         let value = self.required(name);
         self.as_duration(name, value).unwrap_or(FAULTY)
@@ -290,13 +291,13 @@
         duration
     }
 
-    /// A required value that has a text form, such as an address.
+    /// A required value that is parsed from a string, such as an address.
     pub fn parsed<T: str::FromStr>(&mut self, name: &'static str, what: &str) -> Option<T> {
         let value = self.required(name)?;
         self.as_parsed(name, value, what)
     }
 
-    /// An optional value that has a text form.
+    /// An optional value that is parsed from a string.
     pub fn optional_parsed<T: str::FromStr>(
         &mut self,
         name: &'static str,
@@ -321,7 +322,7 @@
         parsed
     }
 
-    /// A required socket address; `0.0.0.0:0` when it was faulty.
+    /// A required socket address; `0.0.0.0:0` if it was faulty.
     pub fn address(&mut self, name: &'static str) -> net::SocketAddr {
         const NOWHERE: net::SocketAddr =
             net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::UNSPECIFIED), 0);
@@ -358,7 +359,7 @@
         Some(result)
     }
 
-    /// An optional list of objects; empty when absent.
+    /// An optional list of objects; empty if absent.
     pub fn list<T>(
         &mut self,
         name: &'static str,
@@ -382,7 +383,7 @@
             .collect()
     }
 
-    /// An optional list of values with a text form, such as addresses.
+    /// An optional list of values that are parsed from strings, such as addresses.
     pub fn parsed_list<T: str::FromStr>(&mut self, name: &'static str, what: &str) -> Vec<T> {
         let Some(value) = self.field(name) else {
             return Vec::new();
--- a/src/request_story.rs
+++ b/src/request_story.rs
@@ -1,16 +1,16 @@
-//! The story of one request, read back from the logs of all hosts.
+//! The trace of one request, reconstructed from the logs of all hosts.
 //!
-//! Lines of other programs, cut lines and lines behind a prefix are met in real logs; what cannot
-//! be read is counted and passed over.
+//! Real logs contain lines of other programs, truncated lines and lines with a prefix. Lines that
+//! cannot be read are counted and skipped.
 
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// Lines about a server are part of a request's story if they lie this near to it, in
-/// milliseconds: the time in which a change reaches all hosts, and a little.
+/// Lines about a server belong to a request's trace if they lie within this time of it, in
+/// milliseconds. It covers the time in which a change reaches all hosts, with a margin.
 const NEAR_MS: u64 = 5_000;
-/// Fields that stand in front of a line or are told by its order.
+/// Fields that a trace shows outside the list of other fields.
 const FRAME_FIELDS: [&str; 4] = ["unix_ms", "host", "event", "text"];
 
 /// One line of a log.
@@ -20,25 +20,25 @@
     pub unix_ms: u64,
     /// The host that wrote it.
     pub host: String,
-    /// The event's number, such as `EV5011`.
+    /// The event code, such as `EV5011`.
     pub event: String,
     /// What happened.
     pub text: String,
-    /// The inputs that decided it.
+    /// The other fields of the line.
     pub fields: Map<String, Value>,
 }
 
-/// All lines that tell of one request.
+/// All lines that concern one request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestStory {
-    /// The lines in their order.
+    /// The lines, ordered by time.
     pub lines: Vec<StoryLine>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be read.
     pub passed_over: usize,
 }
 
 impl RequestStory {
-    /// Reads the story of the request `id` from log lines of any number of hosts.
+    /// Collects the trace of the request `id` from the log lines of any number of hosts.
     ///
     /// ```
     /// use ledgespool::request_story::RequestStory;
@@ -74,7 +74,7 @@
         story
     }
 
-    /// Whether a line tells of a server that the request was offered to, about that time.
+    /// Whether a line concerns a server that the request was sent to, at about the same time.
     fn concerns(&self, line: &StoryLine) -> bool {
         self.lines.iter().any(|own| {
             let server = own.fields.get("server");
@@ -90,7 +90,7 @@
         self.fields.contains_key("server") || self.fields.contains_key("servers")
     }
 
-    /// Whether it names a server, by itself or among others of which it tells.
+    /// Whether the line names a server, alone or in a list.
     fn names_server(&self, server: &Value) -> bool {
         let several = self.fields.get("servers").and_then(Value::as_array);
         self.fields.get("server") == Some(server)
--- a/src/source.rs
+++ b/src/source.rs
@@ -1,14 +1,14 @@
-//! Texts that are read, the faults found in them, and how a fault is shown at its line.
+//! Input texts, the faults found in them, and the report of a fault at its line.
 
 use std::{fmt, fs, path, time};
 
 use crate::error::{self, Error};
 use crate::result_code::ResultCode;
 
-/// The largest input file, in bytes; the platform holds values up to a megabyte.
+/// The largest input file, in bytes; the platform stores values of up to a megabyte.
 pub const MAX_SOURCE_BYTES: u64 = 1_000_000;
 
-/// The most faults reported for one input.
+/// The most faults that are reported for one input.
 const MAX_PROBLEMS: usize = 100;
 
 /// A file's name and text.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Where a value stands: the index of its file and its byte range.
+/// The position of a value: the index of its file and its byte range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SourceSpan {
     /// Index into the list of [`SourceText`]s.
@@ -62,9 +62,9 @@
 pub struct SourceProblem {
     /// The numbered code.
     pub code: ResultCode,
-    /// What is wrong, with the offending name or value.
+    /// What is wrong, with the faulty name or value.
     pub message: String,
-    /// Where it stands; `None` for input that came without text.
+    /// The position; `None` for input that has no text.
     pub span: Option<SourceSpan>,
 }
 
@@ -74,13 +74,13 @@
     }
 }
 
-/// An input that was refused as a whole, with all its faults.
+/// An input that was rejected as a whole, with all its faults.
 #[derive(Debug, thiserror::Error)]
 #[error("{} fault(s): {}", problems.len(), first_problem(problems))]
 pub struct RejectedInput {
-    /// The texts that the spans point into; empty for input without text.
+    /// The texts that the spans refer to; empty for input without text.
     pub sources: Vec<SourceText>,
-    /// At least one fault.
+    /// The faults, at least one.
     pub problems: Vec<SourceProblem>,
 }
 
@@ -99,7 +99,7 @@
             .map_or(ResultCode::SyntaxInvalid, |problem| problem.code)
     }
 
-    /// One `miette` report for each fault, pointing at its line.
+    /// One `miette` report per fault, pointing at its line.
     #[must_use]
     pub fn reports(&self) -> Vec<miette::Report> {
         self.problems
@@ -140,7 +140,7 @@
 }
 
 impl ProblemList {
-    /// Records a fault; past a hundred they are dropped, the first ones matter.
+    /// Records a fault. Faults beyond the first hundred are dropped, since later ones add little.
     pub fn push(&mut self, code: ResultCode, message: impl Into<String>, span: Option<SourceSpan>) {
         if self.problems.len() < MAX_PROBLEMS {
             self.problems.push(SourceProblem {
@@ -151,13 +151,13 @@
         }
     }
 
-    /// Whether nothing was found.
+    /// Whether no fault was recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.problems.is_empty()
     }
 
-    /// `Ok` when nothing was found, otherwise all faults together.
+    /// `Ok` if no fault was recorded, otherwise an error with all of them.
     ///
     /// # Errors
     /// `Rejected` with every fault.
@@ -173,7 +173,7 @@
     }
 }
 
-/// Reads a duration with its unit, to the millisecond; `None` without one.
+/// Parses a duration with a unit, rounded to the millisecond; `None` without a unit.
 ///
 /// ```
 /// use std::time;
@@ -197,6 +197,6 @@
         _ => return None,
     };
     let millis = number * scale;
-    // The limit keeps the figure far inside the range of whole numbers.
+    // The limit keeps the value within the range of `u64`.
     (millis <= MAX_HOURS * 3_600_000.0).then(|| time::Duration::from_millis(millis.round() as u64))
 }
