--- a/tests/boundary.rs
+++ b/tests/boundary.rs
@@ -1,9 +1,9 @@
-//! The platform's wire names stay in `platform/`: the library must not know them.
+//! The platform's wire names stay in `platform/`; the library must not use them.
 
 use std::{fs, path};
 
-/// Names that only the platform uses. Words that are ours as well (`address`, `status`, `slots`)
-/// cannot be told apart and are left out.
+/// Names that only the platform uses. Names that the library uses as well (`address`, `status`,
+/// `slots`) cannot be told apart and are left out.
 const WIRE_NAMES: &[&str] = &[
     "\"request-id\"",
     "request-deadline",
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! What is committed is held to the code: tables, schema, shipped deployments.
+//! Committed files must match the code: tables, schema, example deployments.
 
 use std::collections::HashSet;
 use std::fs;
--- a/tests/request_story.rs
+++ b/tests/request_story.rs
@@ -1,4 +1,4 @@
-//! The story of a request from logs as they come: mixed, cut, prefixed.
+//! Traces of requests from logs with mixed, truncated and prefixed lines.
 
 use ledgespool::request_story::RequestStory;
 use proptest::prelude::*;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Bad input over the wire: each listener refuses with a numbered code and goes on serving.
+//! Invalid input over the network: each listener refuses it with a numbered code and keeps serving.
 
 mod common;
 
@@ -57,7 +57,7 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A request that must be refused, and with which code.
+/// A request that must be refused, and the expected code.
 struct RefusedCase<'c> {
     path: &'c str,
     headers: Vec<(&'c str, &'c str)>,
@@ -221,7 +221,7 @@
     );
 }
 
-/// A server that answers with another request's id, cuts its answers, or says nothing.
+/// The server answers with another request's id, truncates its answers, or omits the id.
 #[tokio::test]
 async fn answers_that_are_not_whole_or_not_own_never_pass_for_such() {
     use ledgespool::standin::backend::BackendFaults;
