--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -34,7 +34,7 @@
 /// `NotSent` when the connection cannot be opened in time.
 pub async fn connect(
     address: net::SocketAddr,
-    limit: time::Duration,
+    timeout: time::Duration,
 ) -> Result<ClientSender, ExchangeFault> {
     let opening = async {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
@@ -45,7 +45,7 @@
             .to_owned();
         builder.handshake(TokioIo::new(stream)).await.ok()
     };
-    let opened = tokio::time::timeout(limit, opening).await;
+    let opened = tokio::time::timeout(timeout, opening).await;
     let (sender, connection) = opened.ok().flatten().ok_or(ExchangeFault::NotSent)?;
     tokio::spawn(async move {
         // A broken connection fails the sender's own request.
@@ -73,11 +73,11 @@
 pub async fn exchange(
     address: net::SocketAddr,
     request: http::Request<Full<Bytes>>,
-    limit: time::Duration,
+    timeout: time::Duration,
     max_bytes: usize,
 ) -> Result<SmallAnswer, ExchangeFault> {
-    let deadline = tokio::time::Instant::now() + limit;
-    let mut sender = connect(address, limit).await?;
+    let deadline = tokio::time::Instant::now() + timeout;
+    let mut sender = connect(address, timeout).await?;
     let answered =
         tokio::time::timeout_at(deadline, read_answer(&mut sender, request, max_bytes)).await;
     answered.unwrap_or(Err(ExchangeFault::Lost))
--- a/src/peer_link.rs
+++ b/src/peer_link.rs
@@ -14,11 +14,11 @@
 use crate::rpc_client::ControlClient;
 
 /// Messages that may wait to be sent. When the ring is full, a message counts as unanswered.
-const PEER_RING: usize = 4_096;
+const PEER_RING_CAPACITY: usize = 4_096;
 /// Timeout of a small message to a peer.
-const PEER_LIMIT: time::Duration = time::Duration::from_millis(400);
+const PEER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Timeout of a configuration, which can be a megabyte.
-const FETCH_LIMIT: time::Duration = time::Duration::from_millis(1_500);
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 
 /// A message to another entry host.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     events: EventPort,
     token: String,
 ) -> std::io::Result<(RingSender<PeerMessage>, thread::JoinHandle<()>)> {
-    let (sender, receiver) = ring::with_capacity(PEER_RING);
+    let (sender, receiver) = ring::with_capacity(PEER_RING_CAPACITY);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -102,26 +102,26 @@
             }
             PeerMessage::Report(address, report) => {
                 let grants: Option<Option<HostGrants>> = self
-                    .call(address, method::REPORT, &report, PEER_LIMIT)
+                    .call(address, method::REPORT, &report, PEER_TIMEOUT)
                     .await;
                 Some(ControlInput::ReportDone(grants.flatten()))
             }
             PeerMessage::Fetch(address) => {
                 let object: Option<Option<ConfigObject>> = self
-                    .call(address, method::FETCH, &NoParams {}, FETCH_LIMIT)
+                    .call(address, method::FETCH, &NoParams {}, FETCH_TIMEOUT)
                     .await;
                 Some(ControlInput::Fetched(object.flatten()))
             }
             PeerMessage::Claim(ticket, address, claim) => {
-                let limit = time::Duration::from_millis(claim.time_left_ms);
+                let timeout = time::Duration::from_millis(claim.time_left_ms);
                 let decision: Option<ClaimDecision> = self
-                    .call(address, method::CLAIM, &claim, limit.min(FETCH_LIMIT))
+                    .call(address, method::CLAIM, &claim, timeout.min(FETCH_TIMEOUT))
                     .await;
                 Some(ControlInput::PeerClaimDone(ticket, decision))
             }
             PeerMessage::Settle(address, settle) => {
                 let _stored: Option<bool> = self
-                    .call(address, method::SETTLE, &settle, PEER_LIMIT)
+                    .call(address, method::SETTLE, &settle, PEER_TIMEOUT)
                     .await;
                 None
             }
@@ -142,7 +142,7 @@
             heartbeat,
         };
         let answer: StampedHeartbeat = self
-            .call(address, method::HEARTBEAT, &message, PEER_LIMIT)
+            .call(address, method::HEARTBEAT, &message, PEER_TIMEOUT)
             .await?;
         self.events.clock().observe(answer.stamp);
         Some(answer.heartbeat)
@@ -153,28 +153,28 @@
         address: net::SocketAddr,
         name: &str,
         params: &P,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Option<R>
     where
         P: serde::Serialize + Sync,
         R: serde::de::DeserializeOwned,
     {
-        let client = self.client(address, limit)?;
+        let client = self.client(address, timeout)?;
         client.call(name, params).await.ok()
     }
 
     /// Returns the cached client of a peer and timeout. The timeout is rounded up, so that each
     /// known host has a few clients at most.
-    fn client(&self, address: net::SocketAddr, limit: time::Duration) -> Option<ControlClient> {
+    fn client(&self, address: net::SocketAddr, timeout: time::Duration) -> Option<ControlClient> {
         const ROUNDING_MS: u128 = 100;
-        let rounded = limit.as_millis().div_ceil(ROUNDING_MS) * ROUNDING_MS;
-        let limit = time::Duration::from_millis(u64::try_from(rounded).unwrap_or(u64::MAX));
+        let rounded = timeout.as_millis().div_ceil(ROUNDING_MS) * ROUNDING_MS;
+        let timeout = time::Duration::from_millis(u64::try_from(rounded).unwrap_or(u64::MAX));
         let mut clients = self.clients.borrow_mut();
-        if let Some(client) = clients.get(&(address, limit)) {
+        if let Some(client) = clients.get(&(address, timeout)) {
             return Some(client.clone());
         }
-        let client = ControlClient::new(address, &self.token, limit).ok()?;
-        clients.insert((address, limit), client.clone());
+        let client = ControlClient::new(address, &self.token, timeout).ok()?;
+        clients.insert((address, timeout), client.clone());
         Some(client)
     }
 }
--- a/src/platform_client.rs
+++ b/src/platform_client.rs
@@ -20,14 +20,14 @@
 use crate::roster;
 
 /// Timeout of a call that does not wait for changes.
-const CALL_LIMIT: time::Duration = time::Duration::from_secs(1);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 /// How long the platform holds a watch open while nothing changes, in milliseconds.
 pub const WATCH_WAIT_MS: u64 = 10_000;
-const WATCH_LIMIT: time::Duration = time::Duration::from_millis(WATCH_WAIT_MS + 2_000);
+const WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(WATCH_WAIT_MS + 2_000);
 /// The largest response, in bytes: up to one megabyte per watched object, and the JSON around them.
 const MAX_ANSWER_BYTES: usize = 4 * plan::MAX_OBJECT_BYTES;
 /// Idle connections that are retained for later calls.
-const MAX_IDLE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// A client of the platform, used from one thread.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
         ) else {
             return ReadResult::Failed;
         };
-        match self.send(request, CALL_LIMIT).await {
+        match self.send(request, CALL_TIMEOUT).await {
             Ok(answer) if answer.status == http::StatusCode::OK => match version_of(&answer) {
                 Some(version) => ReadResult::Found {
                     bytes: answer.body.to_vec(),
@@ -91,7 +91,7 @@
         else {
             return WriteResult::Uncertain;
         };
-        match self.send(request, CALL_LIMIT).await {
+        match self.send(request, CALL_TIMEOUT).await {
             Ok(answer) if answer.status == http::StatusCode::OK => match version_of(&answer) {
                 Some(version) => WriteResult::Stored { version },
                 None => WriteResult::Uncertain,
@@ -111,7 +111,7 @@
             Bytes::new(),
             WritePrecondition::Unconditional,
         )?;
-        let answer = self.send(request, WATCH_LIMIT).await.ok()?;
+        let answer = self.send(request, WATCH_TIMEOUT).await.ok()?;
         parse_body(&answer)
     }
 
@@ -122,7 +122,7 @@
             Bytes::new(),
             WritePrecondition::Unconditional,
         )?;
-        let answer = self.send(request, CALL_LIMIT).await.ok()?;
+        let answer = self.send(request, CALL_TIMEOUT).await.ok()?;
         parse_body(&answer)
     }
 
@@ -131,16 +131,16 @@
     async fn send(
         &self,
         request: http::Request<Full<Bytes>>,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<SmallAnswer, ExchangeFault> {
-        let deadline = tokio::time::Instant::now() + limit;
+        let deadline = tokio::time::Instant::now() + timeout;
         if let Some(sender) = self.take_idle() {
             match self.send_on(sender, request.clone(), deadline).await {
                 Err(ExchangeFault::NotSent) => {}
-                ended => return ended,
+                result => return result,
             }
         }
-        let sender = http_client::connect(self.address, limit.min(CALL_LIMIT)).await?;
+        let sender = http_client::connect(self.address, timeout.min(CALL_TIMEOUT)).await?;
         self.send_on(sender, request, deadline).await
     }
 
@@ -155,7 +155,7 @@
             .await
             .unwrap_or(Err(ExchangeFault::Lost))?;
         if let Ok(mut idle) = self.idle.lock()
-            && idle.len() < MAX_IDLE
+            && idle.len() < MAX_IDLE_CONNECTIONS
         {
             idle.push(sender);
         }
--- a/src/platform_link.rs
+++ b/src/platform_link.rs
@@ -9,7 +9,7 @@
 use crate::ring::{self, RingReceiver, RingSender};
 
 /// Calls that may wait. When the ring is full, a call counts as failed.
-const PLATFORM_RING: usize = 1_024;
+const PLATFORM_RING_CAPACITY: usize = 1_024;
 
 /// A call and its purpose.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     address: net::SocketAddr,
     control: ControlPort,
 ) -> std::io::Result<(RingSender<PurposedCall>, thread::JoinHandle<()>)> {
-    let (sender, receiver) = ring::with_capacity(PLATFORM_RING);
+    let (sender, receiver) = ring::with_capacity(PLATFORM_RING_CAPACITY);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -74,11 +74,11 @@
 /// Delivers a reply to the controller, and retries while its ring is full, because roles wait for
 /// every reply.
 async fn deliver(control: &ControlPort, purpose: CallPurpose, reply: PlatformReply) {
-    const PAUSE: std::time::Duration = std::time::Duration::from_millis(5);
+    const RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(5);
     while !control.is_closed() {
         if control.tell(ControlInput::Platform(purpose, reply.clone())) {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
