--- a/src/openrpc.rs
+++ b/src/openrpc.rs
@@ -24,49 +24,49 @@
 }
 
 fn document() -> Value {
-    let mut book = SchemaBook::new();
+    let mut collector = SchemaCollector::new();
     let methods = vec![
-        book.describe::<NoParams, HostStatus>(
+        collector.describe_method::<NoParams, HostStatus>(
             method::STATUS,
             "operator",
             "The state of this entry host.",
         ),
-        book.describe::<NoParams, Option<ConfigObject>>(
+        collector.describe_method::<NoParams, Option<ConfigObject>>(
             method::DECLARATION,
             "operator",
             "The configuration in force.",
         ),
-        book.describe::<ChangeParams, ChangeResult>(
+        collector.describe_method::<ChangeParams, ChangeResult>(
             method::CHANGE,
             "operator",
             "Changes the configuration.",
         ),
-        book.describe::<TimelineParams, Vec<EventRecord>>(
+        collector.describe_method::<TimelineParams, Vec<EventRecord>>(
             method::TIMELINE,
             "operator",
             "The events of this entry host.",
         ),
-        book.describe::<StampedHeartbeat, StampedHeartbeat>(
+        collector.describe_method::<StampedHeartbeat, StampedHeartbeat>(
             method::HEARTBEAT,
             "peer",
             "A heartbeat between entry hosts.",
         ),
-        book.describe::<HostReport, Option<HostGrants>>(
+        collector.describe_method::<HostReport, Option<HostGrants>>(
             method::REPORT,
             "peer",
             "A report to the planner; its answer grants.",
         ),
-        book.describe::<NoParams, Option<ConfigObject>>(
+        collector.describe_method::<NoParams, Option<ConfigObject>>(
             method::FETCH,
             "peer",
             "The configuration, for another entry host.",
         ),
-        book.describe::<PeerClaim, ClaimDecision>(
+        collector.describe_method::<PeerClaim, ClaimDecision>(
             method::CLAIM,
             "peer",
             "A claim for the owner of its shard.",
         ),
-        book.describe::<PeerSettle, bool>(
+        collector.describe_method::<PeerSettle, bool>(
             method::SETTLE,
             "peer",
             "The outcome of a claimed request.",
@@ -80,16 +80,16 @@
             "description": DESCRIPTION,
         },
         "methods": methods,
-        "components": { "schemas": book.generator.take_definitions(true), "errors": errors() },
+        "components": { "schemas": collector.generator.take_definitions(true), "errors": errors() },
     })
 }
 
 /// Collects the schemas of types that several methods use.
-struct SchemaBook {
+struct SchemaCollector {
     generator: SchemaGenerator,
 }
 
-impl SchemaBook {
+impl SchemaCollector {
     fn new() -> Self {
         let mut settings = SchemaSettings::draft2020_12();
         settings.definitions_path = "/components/schemas".into();
@@ -98,7 +98,7 @@
         }
     }
 
-    fn describe<P: JsonSchema, R: JsonSchema>(
+    fn describe_method<P: JsonSchema, R: JsonSchema>(
         &mut self,
         name: &str,
         role: &str,
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -136,11 +136,11 @@
 /// A JSON-RPC error for a numbered code.
 #[must_use]
 pub fn error_object(code: ResultCode, detail: &str) -> ErrorObjectOwned {
-    let may_pass = matches!(code.http_status(), 503 | 504);
+    let is_temporary = matches!(code.http_status(), 503 | 504);
     let data = ErrorData {
         code: code.to_string(),
         advice: code.advice().to_owned(),
-        retry_after_ms: may_pass.then_some(RETRY_AFTER_MS),
+        retry_after_ms: is_temporary.then_some(RETRY_AFTER_MS),
     };
     let message = if detail.is_empty() {
         code.text().to_owned()
@@ -153,7 +153,7 @@
 type RpcResult<T> = Result<T, ErrorObjectOwned>;
 
 /// Parses the parameters after checking that the caller has the required role.
-fn checked<T: serde::de::DeserializeOwned>(
+fn parse_params<T: serde::de::DeserializeOwned>(
     params: &Params<'_>,
     extensions: &Extensions,
     role: CallerRole,
@@ -175,7 +175,7 @@
     })
 }
 
-fn busy<T>() -> RpcResult<T> {
+fn control_busy<T>() -> RpcResult<T> {
     Err(error_object(ResultCode::ControlBusy, ""))
 }
 
@@ -186,22 +186,22 @@
 pub fn build_module(context: RpcContext) -> Result<RpcModule<RpcContext>, RegisterMethodError> {
     let mut module = RpcModule::new(context);
     module.register_async_method(method::STATUS, |params, context, extensions| async move {
-        let _params: NoParams = checked(&params, &extensions, CallerRole::Operator)?;
+        let _params: NoParams = parse_params(&params, &extensions, CallerRole::Operator)?;
         status(&context).await
     })?;
     module.register_async_method(
         method::DECLARATION,
         |params, context, extensions| async move {
-            let _params: NoParams = checked(&params, &extensions, CallerRole::Operator)?;
-            fetch(&context).await
+            let _params: NoParams = parse_params(&params, &extensions, CallerRole::Operator)?;
+            fetch_config(&context).await
         },
     )?;
     module.register_async_method(method::CHANGE, |params, context, extensions| async move {
-        let params: ChangeParams = checked(&params, &extensions, CallerRole::Operator)?;
+        let params: ChangeParams = parse_params(&params, &extensions, CallerRole::Operator)?;
         change(&context, params).await
     })?;
     module.register_async_method(method::TIMELINE, |params, context, extensions| async move {
-        let params: TimelineParams = checked(&params, &extensions, CallerRole::Operator)?;
+        let params: TimelineParams = parse_params(&params, &extensions, CallerRole::Operator)?;
         Ok::<Vec<EventRecord>, ErrorObjectOwned>(context.events.read(params.after).await)
     })?;
     register_peer_methods(&mut module)?;
@@ -212,24 +212,24 @@
     module.register_async_method(
         method::HEARTBEAT,
         |params, context, extensions| async move {
-            let params: StampedHeartbeat = checked(&params, &extensions, CallerRole::Peer)?;
+            let params: StampedHeartbeat = parse_params(&params, &extensions, CallerRole::Peer)?;
             heartbeat(&context, params).await
         },
     )?;
     module.register_async_method(method::REPORT, |params, context, extensions| async move {
-        let report: HostReport = checked(&params, &extensions, CallerRole::Peer)?;
+        let report: HostReport = parse_params(&params, &extensions, CallerRole::Peer)?;
         report_usage(&context, report).await
     })?;
     module.register_async_method(method::FETCH, |params, context, extensions| async move {
-        let _params: NoParams = checked(&params, &extensions, CallerRole::Peer)?;
-        fetch(&context).await
+        let _params: NoParams = parse_params(&params, &extensions, CallerRole::Peer)?;
+        fetch_config(&context).await
     })?;
     module.register_async_method(method::CLAIM, |params, context, extensions| async move {
-        let claim: PeerClaim = checked(&params, &extensions, CallerRole::Peer)?;
-        take_claim(&context, claim).await
+        let claim: PeerClaim = parse_params(&params, &extensions, CallerRole::Peer)?;
+        decide_claim(&context, claim).await
     })?;
     module.register_async_method(method::SETTLE, |params, context, extensions| async move {
-        let settle: PeerSettle = checked(&params, &extensions, CallerRole::Peer)?;
+        let settle: PeerSettle = parse_params(&params, &extensions, CallerRole::Peer)?;
         Ok::<bool, ErrorObjectOwned>(context.control.tell(ControlInput::PeerSettle(settle)))
     })?;
     Ok(())
@@ -238,14 +238,14 @@
 async fn status(context: &sync::Arc<RpcContext>) -> RpcResult<HostStatus> {
     match context.control.ask(ControlInput::Status).await {
         Some(ControlAnswer::Status(status)) => Ok(*status),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
-async fn fetch(context: &sync::Arc<RpcContext>) -> RpcResult<Option<ConfigObject>> {
+async fn fetch_config(context: &sync::Arc<RpcContext>) -> RpcResult<Option<ConfigObject>> {
     match context.control.ask(ControlInput::Fetch).await {
         Some(ControlAnswer::Config(object)) => Ok(object),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
@@ -263,7 +263,7 @@
             Ok(generation) => Ok(ChangeResult { generation }),
             Err(fault) => Err(error_object(fault.code, &fault.detail)),
         },
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
@@ -281,7 +281,7 @@
             stamp: context.events.clock().tick(),
             heartbeat,
         }),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
@@ -295,18 +295,21 @@
         .await
     {
         Some(ControlAnswer::Grants(grants)) => Ok(grants),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
-async fn take_claim(context: &sync::Arc<RpcContext>, claim: PeerClaim) -> RpcResult<ClaimDecision> {
+async fn decide_claim(
+    context: &sync::Arc<RpcContext>,
+    claim: PeerClaim,
+) -> RpcResult<ClaimDecision> {
     match context
         .control
         .ask(|ticket| ControlInput::PeerClaim(ticket, claim))
         .await
     {
         Some(ControlAnswer::Claim(decision)) => Ok(decision),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
--- a/src/rpc_client.rs
+++ b/src/rpc_client.rs
@@ -48,7 +48,7 @@
     pub fn new(
         address: net::SocketAddr,
         token: &str,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> error::Result<Self> {
         let invalid = |detail: String| Error::with_code(ResultCode::ParameterInvalid, detail);
         let mut headers = http::HeaderMap::new();
@@ -59,7 +59,7 @@
         );
         let client = HttpClientBuilder::default()
             .set_headers(headers)
-            .request_timeout(limit)
+            .request_timeout(timeout)
             .max_request_size(MAX_MESSAGE_BYTES)
             .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("http://{address}"))
--- a/src/rpc_server.rs
+++ b/src/rpc_server.rs
@@ -24,7 +24,7 @@
 /// The largest answer, in bytes: a configuration, or the whole timeline.
 const MAX_ANSWER_BYTES: u32 = 4 * plan::MAX_OBJECT_BYTES as u32;
 /// Timeout for receiving a call's body and producing its answer.
-const CALL_LIMIT: std::time::Duration = std::time::Duration::from_secs(15);
+const CALL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
 const MAX_CONNECTIONS: usize = 2_048;
 
 type AnswerBody = http_body_util::combinators::UnsyncBoxBody<
@@ -78,19 +78,19 @@
     ) -> http::Response<AnswerBody> {
         let Some(role) = self.tokens.role_of(request.headers()) else {
             rpc::note_refused_token(&self.context.events, peer);
-            return refusal(ResultCode::TokenRejected);
+            return error_response(ResultCode::TokenRejected);
         };
         request.extensions_mut().insert(role);
         let mut service = self.builder.build(self.methods, self.stop);
-        match tokio::time::timeout(CALL_LIMIT, service.call(request)).await {
+        match tokio::time::timeout(CALL_TIMEOUT, service.call(request)).await {
             Ok(Ok(response)) => response.map(|body| body.map_err(Into::into).boxed_unsync()),
-            _ => refusal(ResultCode::ParameterInvalid),
+            _ => error_response(ResultCode::ParameterInvalid),
         }
     }
 }
 
 /// A JSON-RPC error for a request that was refused before its call was parsed.
-fn refusal(code: ResultCode) -> http::Response<AnswerBody> {
+fn error_response(code: ResultCode) -> http::Response<AnswerBody> {
     let error = rpc::error_object(code, "");
     let body = serde_json::json!({ "jsonrpc": "2.0", "id": null, "error": error });
     let body = Full::from(body.to_string())
