--- a/src/object_reader.rs
+++ b/src/object_reader.rs
@@ -11,7 +11,7 @@
 use crate::source::{self, ProblemList, SourceSpan, SourceText};
 
 /// The expected type of integer fields, for error messages.
-const WHOLE: &str = "a whole number";
+const WHOLE_NUMBER: &str = "a whole number";
 
 /// The deepest nesting of an input; without this limit a hostile file could exhaust the stack.
 const MAX_DEPTH: usize = 32;
@@ -77,23 +77,23 @@
     read: impl FnOnce(&mut ObjectReader<'_, 't>) -> T,
 ) -> error::Result<T> {
     let mut problems = ProblemList::default();
-    let whole = read_object(0, source, &mut problems, read);
+    let value = read_object(0, source, &mut problems, read);
     problems.into_result(std::slice::from_ref(source))?;
-    whole.ok_or_else(|| Error::with_code(ResultCode::SyntaxInvalid, source.name.clone()))
+    value.ok_or_else(|| Error::with_code(ResultCode::SyntaxInvalid, source.name.clone()))
 }
 
 fn nesting_depth(text: &str) -> usize {
     let mut depth = 0_usize;
-    let mut deepest = 0;
+    let mut max_depth = 0;
     for byte in text.bytes() {
         match byte {
             b'{' | b'[' => depth += 1,
             b'}' | b']' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        deepest = deepest.max(depth);
+        max_depth = max_depth.max(depth);
     }
-    deepest
+    max_depth
 }
 
 /// Reads the fields of one object; a field that was not read is reported as unknown.
@@ -102,7 +102,7 @@
     file: usize,
     object: &'r ast::Object<'t>,
     problems: &'r mut ProblemList,
-    read: Vec<&'static str>,
+    fields_read: Vec<&'static str>,
 }
 
 impl<'r, 't> ObjectReader<'r, 't> {
@@ -111,7 +111,7 @@
             file,
             object,
             problems,
-            read: Vec::new(),
+            fields_read: Vec::new(),
         }
     }
 
@@ -122,7 +122,7 @@
     }
 
     fn field(&mut self, name: &'static str) -> Option<&'r ast::Value<'t>> {
-        self.read.push(name);
+        self.fields_read.push(name);
         let object = self.object;
         object
             .properties
@@ -185,7 +185,7 @@
     /// A required integer within `range`.
     pub fn integer(&mut self, name: &'static str, range: ops::RangeInclusive<u32>) -> u32 {
         let value = self.required(name);
-        let number = value.and_then(|value| self.number_within(name, value, &range, WHOLE));
+        let number = value.and_then(|value| self.number_within(name, value, &range, WHOLE_NUMBER));
         number.unwrap_or(*range.start())
     }
 
@@ -196,7 +196,7 @@
         range: ops::RangeInclusive<u32>,
     ) -> Option<u32> {
         let value = self.field(name)?;
-        self.number_within(name, value, &range, WHOLE)
+        self.number_within(name, value, &range, WHOLE_NUMBER)
     }
 
     fn number_within<T: str::FromStr + PartialOrd + fmt::Display>(
@@ -254,9 +254,9 @@
     /// A required duration such as `"250ms"`.
     pub fn duration(&mut self, name: &'static str) -> time::Duration {
         // The placeholder passes every range check, so that one value reports only one fault.
-        const FAULTY: time::Duration = time::Duration::from_secs(1);
+        const PLACEHOLDER: time::Duration = time::Duration::from_secs(1);
         let value = self.required(name);
-        self.as_duration(name, value).unwrap_or(FAULTY)
+        self.as_duration(name, value).unwrap_or(PLACEHOLDER)
     }
 
     /// An optional duration.
@@ -324,9 +324,9 @@
 
     /// A required socket address; `0.0.0.0:0` if it was faulty.
     pub fn address(&mut self, name: &'static str) -> net::SocketAddr {
-        const NOWHERE: net::SocketAddr =
+        const PLACEHOLDER: net::SocketAddr =
             net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::UNSPECIFIED), 0);
-        self.parsed(name, "IP:PORT").unwrap_or(NOWHERE)
+        self.parsed(name, "IP:PORT").unwrap_or(PLACEHOLDER)
     }
 
     /// An optional nested object.
@@ -416,7 +416,7 @@
         for property in &self.object.properties {
             let name = property.name.as_str();
             let span = Some(span_of(self.file, property.range));
-            if !self.read.contains(&name) {
+            if !self.fields_read.contains(&name) {
                 self.problems.push(
                     ResultCode::FieldUnknown,
                     format!("field `{name}` is unknown"),
@@ -426,7 +426,7 @@
             if seen.contains(&name) {
                 self.problems.push(
                     ResultCode::NameDuplicate,
-                    format!("field `{name}` stands twice"),
+                    format!("field `{name}` appears twice"),
                     span,
                 );
             }
