--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -261,14 +261,14 @@
 /// Runs `serving` until it ends or a grace period after the stop signal is over. Peers keep their
 /// connections open, so shutdown does not wait for those to close.
 async fn run_until_stop(serving: impl Future<Output = ()>, mut stop: watch::Receiver<bool>) {
-    const LAST_ANSWERS: time::Duration = time::Duration::from_millis(500);
+    const SHUTDOWN_GRACE_PERIOD: time::Duration = time::Duration::from_millis(500);
     let stopped = async {
         while !*stop.borrow_and_update() {
             if stop.changed().await.is_err() {
                 break;
             }
         }
-        tokio::time::sleep(LAST_ANSWERS).await;
+        tokio::time::sleep(SHUTDOWN_GRACE_PERIOD).await;
     };
     tokio::select! {
         () = serving => {}
--- a/src/event_writer.rs
+++ b/src/event_writer.rs
@@ -13,7 +13,7 @@
 use crate::timeline::{ClockStamp, EventLog, EventRecord, HybridClock};
 
 /// Events that may wait to be written; further ones are dropped and counted.
-const EVENT_RING: usize = 4_096;
+const EVENT_RING_CAPACITY: usize = 4_096;
 
 #[derive(Debug)]
 enum EventInput {
@@ -77,7 +77,7 @@
 /// # Errors
 /// When the thread or the logger cannot be created.
 pub fn spawn(host: &str, style: LogStyle) -> std::io::Result<(EventPort, thread::JoinHandle<()>)> {
-    let (ring, receiver) = ring::with_capacity(EVENT_RING);
+    let (ring, receiver) = ring::with_capacity(EVENT_RING_CAPACITY);
     let port = EventPort {
         ring,
         host: sync::Arc::from(host),
--- a/src/line_chart.rs
+++ b/src/line_chart.rs
@@ -8,7 +8,7 @@
 use crate::result_code::ResultCode;
 
 /// Width and height, in pixels.
-const SIZE: (u32, u32) = (1_000, 420);
+const SIZE_PX: (u32, u32) = (1_000, 420);
 /// The colours of the curves; curves beyond the last colour are black.
 const COLOURS: [RGBColor; 7] = [
     RGBColor(230, 159, 0),
@@ -20,7 +20,7 @@
     BLACK,
 ];
 /// Space above the largest value on the vertical axis, as a fraction of that value.
-const MARGIN: f64 = 0.05;
+const TOP_MARGIN: f64 = 0.05;
 
 /// A line chart.
 #[derive(Debug, Clone, PartialEq)]
@@ -64,16 +64,16 @@
 
     fn draw(&self, file: &path::Path) -> std::result::Result<(), Box<dyn std::error::Error>> {
         let points = || self.curves.iter().flat_map(|curve| &curve.points);
-        let most_x = points().map(|point| point.0).fold(1.0, f64::max);
-        let most_y = points().map(|point| point.1).fold(1.0, f64::max);
-        let root = SVGBackend::new(file, SIZE).into_drawing_area();
+        let max_x = points().map(|point| point.0).fold(1.0, f64::max);
+        let max_y = points().map(|point| point.1).fold(1.0, f64::max);
+        let root = SVGBackend::new(file, SIZE_PX).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption(self.title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..most_x, 0.0..most_y * (1.0 + MARGIN))?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y * (1.0 + TOP_MARGIN))?;
         chart
             .configure_mesh()
             .x_desc(self.x_name)
@@ -83,8 +83,9 @@
         for (curve, colour) in self.curves.iter().zip(colours) {
             let line = LineSeries::new(curve.points.iter().copied(), colour.stroke_width(2));
             let series = chart.draw_series(line)?;
-            let sign = |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled());
-            series.label(curve.name).legend(sign);
+            let legend_key =
+                |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled());
+            series.label(curve.name).legend(legend_key);
         }
         chart
             .configure_series_labels()
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -10,13 +10,13 @@
 use tokio::sync::watch;
 
 /// Time within which a request's headers must arrive, and the longest idle time of a connection.
-const HEADER_TIME: time::Duration = time::Duration::from_secs(30);
+const HEADER_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 /// The largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 /// Delay after a failed accept, for example when file descriptors run out.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(20);
-const BACKLOG: u32 = 4_096;
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
+const ACCEPT_BACKLOG: u32 = 4_096;
 
 /// Opens a listening socket that several threads can accept from.
 ///
@@ -30,7 +30,7 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)?.into_std()
+    socket.listen(ACCEPT_BACKLOG)?.into_std()
 }
 
 /// Accepts and serves connections until `stop` turns true, then waits for requests in flight.
@@ -56,7 +56,7 @@
             () = stopped(&mut stop) => break,
         };
         let Ok((stream, peer)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if graceful.count() >= max_connections || stream.set_nodelay(true).is_err() {
@@ -69,7 +69,7 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEADER_TIME)
+            .header_read_timeout(HEADER_TIMEOUT)
             .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS)
             .serve_connection(TokioIo::new(stream), service);
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -67,7 +67,7 @@
 /// A buffered sink behind a bounded queue with its own thread, so that the request path never waits
 /// for it.
 fn udp_sink(address: net::SocketAddr) -> Option<cadence::QueuingMetricSink> {
-    const QUEUE: usize = 4_096;
+    const QUEUE_CAPACITY: usize = 4_096;
     let local = if address.is_ipv4() {
         "0.0.0.0:0"
     } else {
@@ -76,5 +76,8 @@
     let socket = net::UdpSocket::bind(local).ok()?;
     socket.set_nonblocking(true).ok()?;
     let sink = cadence::BufferedUdpMetricSink::from(address, socket).ok()?;
-    Some(cadence::QueuingMetricSink::with_capacity(sink, QUEUE))
+    Some(cadence::QueuingMetricSink::with_capacity(
+        sink,
+        QUEUE_CAPACITY,
+    ))
 }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -19,7 +19,7 @@
 struct RingState<T> {
     queue: ArrayQueue<T>,
     notify: Notify,
-    reader_gone: atomic::AtomicBool,
+    receiver_dropped: atomic::AtomicBool,
     senders: atomic::AtomicUsize,
 }
 
@@ -49,7 +49,7 @@
     let state = sync::Arc::new(RingState {
         queue: ArrayQueue::new(capacity.max(1)),
         notify: Notify::new(),
-        reader_gone: atomic::AtomicBool::new(false),
+        receiver_dropped: atomic::AtomicBool::new(false),
         senders: atomic::AtomicUsize::new(1),
     });
     (
@@ -66,7 +66,7 @@
     /// # Errors
     /// [`RingFault`] with the value if the ring is full or its receiver was dropped.
     pub fn push(&self, value: T) -> Result<(), RingFault<T>> {
-        if self.state.reader_gone.load(atomic::Ordering::Acquire) {
+        if self.state.receiver_dropped.load(atomic::Ordering::Acquire) {
             return Err(RingFault::Closed(value));
         }
         self.state.queue.push(value).map_err(RingFault::Full)?;
@@ -79,7 +79,7 @@
     /// Whether the receiver was dropped.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.state.reader_gone.load(atomic::Ordering::Acquire)
+        self.state.receiver_dropped.load(atomic::Ordering::Acquire)
     }
 }
 
@@ -124,7 +124,7 @@
 impl<T> Drop for RingReceiver<T> {
     fn drop(&mut self) {
         self.state
-            .reader_gone
+            .receiver_dropped
             .store(true, atomic::Ordering::Release);
         while self.state.queue.pop().is_some() {}
     }
--- a/src/silence_probe.rs
+++ b/src/silence_probe.rs
@@ -7,11 +7,11 @@
 use std::time;
 
 /// Data that the peer does not acknowledge within this time breaks the connection.
-const UNCONFIRMED_LIMIT: time::Duration = time::Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 /// Idle time before the first probe, and the interval between probes.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Unanswered probes that break the connection.
-const PROBES: u32 = 2;
+const MAX_LOST_PROBES: u32 = 2;
 
 /// Enables keepalive probes on a connection.
 ///
@@ -19,10 +19,10 @@
 /// When the kernel refuses an option.
 pub fn enable(stream: &tokio::net::TcpStream) -> std::io::Result<()> {
     let socket = socket2::SockRef::from(stream);
-    let probes = socket2::TcpKeepalive::new()
+    let keepalive = socket2::TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNCONFIRMED_LIMIT))
+        .with_retries(MAX_LOST_PROBES);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -12,7 +12,7 @@
 use crate::timer;
 
 /// Events that each process retains in memory.
-pub const KEPT_EVENTS: usize = 4_096;
+pub const MAX_EVENTS: usize = 4_096;
 const COUNTER_BITS: u32 = 16;
 
 /// A reading of the hybrid clock: Unix milliseconds in the upper 48 bits, a counter below.
@@ -120,7 +120,7 @@
     merged
 }
 
-/// The latest events of one process, at most [`KEPT_EVENTS`].
+/// The latest events of one process, at most [`MAX_EVENTS`].
 #[derive(Debug, Default)]
 pub struct EventLog {
     records: collections::VecDeque<EventRecord>,
@@ -129,7 +129,7 @@
 impl EventLog {
     /// Adds an event; when full, the oldest is removed.
     pub fn push(&mut self, record: EventRecord) {
-        if self.records.len() == KEPT_EVENTS {
+        if self.records.len() == MAX_EVENTS {
             self.records.pop_front();
         }
         self.records.push_back(record);
