--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -8,7 +8,7 @@
 use hyper_util::rt::TokioIo;
 
 use super::fleet_server::FleetServer;
-use crate::silence_probe;
+use crate::tcp_keepalive;
 use crate::timer::Moment;
 
 /// A connection is not used again this long before the server closes it, in milliseconds.
@@ -146,6 +146,6 @@
 async fn open_stream(address: net::SocketAddr) -> std::io::Result<tokio::net::TcpStream> {
     let stream = tokio::net::TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    silence_probe::enable(&stream)?;
+    tcp_keepalive::enable(&stream)?;
     Ok(stream)
 }
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -7,7 +7,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 
-use crate::silence_probe;
+use crate::tcp_keepalive;
 
 /// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
@@ -39,7 +39,7 @@
     let opening = async {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        silence_probe::enable(&stream).ok()?;
+        tcp_keepalive::enable(&stream).ok()?;
         let builder = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .to_owned();
