--- a/src/bin/ledgespool/logs.rs
+++ b/src/bin/ledgespool/logs.rs
@@ -6,15 +6,15 @@
 use ledgespool::error::{self, Error};
 use ledgespool::losses::plot;
 use ledgespool::losses::report::LossReport;
-use ledgespool::request_story::RequestStory;
+use ledgespool::request_trace::RequestTrace;
 use ledgespool::result_code::ResultCode;
 
 use crate::output;
 
-/// Prints the story of one request.
+/// Prints the trace of one request.
 pub fn explain_request(id: &str, files: &[path::PathBuf]) -> error::Result<()> {
     let logs = read_logs(files)?;
-    println!("{}", RequestStory::from_lines(id, lines_of(&logs)));
+    println!("{}", RequestTrace::from_lines(id, lines_of(&logs)));
     Ok(())
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -42,7 +42,7 @@
 pub mod port;
 pub mod ramp;
 pub mod report;
-pub mod request_story;
+pub mod request_trace;
 pub mod result_code;
 pub mod retry;
 pub mod ring;
--- a/src/request_story.rs
+++ b/src/request_trace.rs
@@ -9,13 +9,13 @@
 
 /// Lines about a server belong to a request's trace if they lie within this time of it, in
 /// milliseconds. It covers the time in which a change reaches all hosts, with a margin.
-const NEAR_MS: u64 = 5_000;
+const SERVER_EVENT_WINDOW_MS: u64 = 5_000;
 /// Fields that a trace shows outside the list of other fields.
-const FRAME_FIELDS: [&str; 4] = ["unix_ms", "host", "event", "text"];
+const HEADER_FIELDS: [&str; 4] = ["unix_ms", "host", "event", "text"];
 
 /// One line of a log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StoryLine {
+pub struct TraceLine {
     /// The host's clock, in Unix milliseconds.
     pub unix_ms: u64,
     /// The host that wrote it.
@@ -30,97 +30,101 @@
 
 /// All lines that concern one request.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct RequestStory {
+pub struct RequestTrace {
     /// The lines, ordered by time.
-    pub lines: Vec<StoryLine>,
+    pub lines: Vec<TraceLine>,
     /// Number of lines that could not be read.
-    pub passed_over: usize,
+    pub skipped: usize,
 }
 
-impl RequestStory {
+impl RequestTrace {
     /// Collects the trace of the request `id` from the log lines of any number of hosts.
     ///
     /// ```
-    /// use ledgespool::request_story::RequestStory;
+    /// use ledgespool::request_trace::RequestTrace;
     /// let logs = [
     ///     r#"{"unix_ms":2,"host":"a","event":"EV5011","text":"It ended.","id":"r-1"}"#,
     ///     "cut off {\"unix_ms\":",
     ///     r#"0.5 a {"unix_ms":1,"host":"a","event":"EV5010","text":"It failed.","id":"r-1"}"#,
     /// ];
-    /// let story = RequestStory::from_lines("r-1", logs);
-    /// assert_eq!(story.lines.len(), 2);
-    /// assert_eq!(story.lines[0].event, "EV5010");
-    /// assert_eq!(story.passed_over, 1);
+    /// let trace = RequestTrace::from_lines("r-1", logs);
+    /// assert_eq!(trace.lines.len(), 2);
+    /// assert_eq!(trace.lines[0].event, "EV5010");
+    /// assert_eq!(trace.skipped, 1);
     /// ```
     pub fn from_lines<'a>(id: &str, lines: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut story = Self::default();
-        let mut others = Vec::new();
+        let mut trace = Self::default();
+        let mut server_lines = Vec::new();
         for text in lines {
-            match StoryLine::from_text(text) {
-                Some(line) if line.names("id", id) => story.lines.push(line),
-                Some(line) if line.tells_of_servers() => others.push(line),
+            match TraceLine::from_text(text) {
+                Some(line) if line.has_field_value("id", id) => trace.lines.push(line),
+                Some(line) if line.mentions_server() => server_lines.push(line),
                 Some(_) => {}
-                None => story.passed_over += 1,
+                None => trace.skipped += 1,
             }
         }
-        let near: Vec<StoryLine> = others
+        let related: Vec<TraceLine> = server_lines
             .into_iter()
-            .filter(|line| !line.fields.contains_key("id") && story.concerns(line))
+            .filter(|line| !line.fields.contains_key("id") && trace.is_related(line))
             .collect();
-        story.lines.extend(near);
-        story
+        trace.lines.extend(related);
+        trace
             .lines
             .sort_by(|a, b| (a.unix_ms, &a.host).cmp(&(b.unix_ms, &b.host)));
-        story
+        trace
     }
 
     /// Whether a line concerns a server that the request was sent to, at about the same time.
-    fn concerns(&self, line: &StoryLine) -> bool {
+    fn is_related(&self, line: &TraceLine) -> bool {
         self.lines.iter().any(|own| {
             let server = own.fields.get("server");
-            server.is_some_and(|server| line.names_server(server))
+            server.is_some_and(|server| line.mentions(server))
                 && own.host == line.host
-                && own.unix_ms.abs_diff(line.unix_ms) <= NEAR_MS
+                && own.unix_ms.abs_diff(line.unix_ms) <= SERVER_EVENT_WINDOW_MS
         })
     }
 }
 
-impl StoryLine {
-    fn tells_of_servers(&self) -> bool {
+impl TraceLine {
+    fn mentions_server(&self) -> bool {
         self.fields.contains_key("server") || self.fields.contains_key("servers")
     }
 
     /// Whether the line names a server, alone or in a list.
-    fn names_server(&self, server: &Value) -> bool {
-        let several = self.fields.get("servers").and_then(Value::as_array);
+    fn mentions(&self, server: &Value) -> bool {
+        let servers = self.fields.get("servers").and_then(Value::as_array);
         self.fields.get("server") == Some(server)
-            || several.is_some_and(|servers| servers.contains(server))
+            || servers.is_some_and(|servers| servers.contains(server))
     }
 
     fn from_text(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let mut fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
-        let word = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_owned);
-        let (host, event, said) = (word("host")?, word("event")?, word("text")?);
+        let text_field = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_owned);
+        let (host, event, message) = (
+            text_field("host")?,
+            text_field("event")?,
+            text_field("text")?,
+        );
         let unix_ms = fields.get("unix_ms")?.as_u64()?;
-        for name in FRAME_FIELDS {
+        for name in HEADER_FIELDS {
             fields.remove(name);
         }
         Some(Self {
             unix_ms,
             host,
             event,
-            text: said,
+            text: message,
             fields,
         })
     }
 
-    fn names(&self, field: &str, value: &str) -> bool {
+    fn has_field_value(&self, field: &str, value: &str) -> bool {
         self.fields.get(field).and_then(Value::as_str) == Some(value)
     }
 }
 
-impl fmt::Display for RequestStory {
+impl fmt::Display for RequestTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let first = self.lines.first().map_or(0, |line| line.unix_ms);
         for line in &self.lines {
@@ -138,7 +142,7 @@
             f,
             "{} lines; {} could not be read",
             self.lines.len(),
-            self.passed_over
+            self.skipped
         )
     }
 }
--- a/tests/request_story.rs
+++ b/tests/request_trace.rs
@@ -1,6 +1,6 @@
 //! Traces of requests from logs with mixed, truncated and prefixed lines.
 
-use ledgespool::request_story::RequestStory;
+use ledgespool::request_trace::RequestTrace;
 use proptest::prelude::*;
 
 fn line(unix_ms: u64, host: &str, event: &str, rest: &str) -> String {
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_lines_of_a_request_and_of_its_servers_come_in_order() {
+fn lines_of_a_request_and_its_servers_are_ordered_by_time() {
     let logs = [
         line(300, "b", "EV5011", r#""id":"r-1","reason":"lost""#),
         line(100, "b", "EV5010", r#""id":"r-1","server":"i-7""#),
@@ -20,14 +20,14 @@
         line(110, "b", "EV5010", r#""id":"r-2","server":"i-7""#),
         line(120, "b", "EV5001", r#""server":"i-8""#),
     ];
-    let story = RequestStory::from_lines("r-1", logs.iter().map(String::as_str));
-    let told: Vec<(u64, &str)> = story
+    let trace = RequestTrace::from_lines("r-1", logs.iter().map(String::as_str));
+    let found: Vec<(u64, &str)> = trace
         .lines
         .iter()
         .map(|line| (line.unix_ms, line.event.as_str()))
         .collect();
-    assert_eq!(told, [(90, "EV5001"), (100, "EV5010"), (300, "EV5011")]);
-    let text = story.to_string();
+    assert_eq!(found, [(90, "EV5001"), (100, "EV5010"), (300, "EV5011")]);
+    let text = trace.to_string();
     assert!(
         text.contains("210 ms") && text.contains("reason = \"lost\""),
         "{text}"
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn prefixes_are_skipped_and_cut_lines_counted() {
+fn prefixes_are_ignored_and_truncated_lines_counted() {
     let whole = line(5, "a", "EV5011", r#""id":"r-1""#);
     let prefixed = format!("   12.5 edge-1 {whole}");
     let cut = &whole[..whole.len() - 4];
-    let story = RequestStory::from_lines("r-1", [prefixed.as_str(), cut, "no JSON", "{}"]);
-    assert_eq!((story.lines.len(), story.passed_over), (1, 3));
+    let trace = RequestTrace::from_lines("r-1", [prefixed.as_str(), cut, "no JSON", "{}"]);
+    assert_eq!((trace.lines.len(), trace.skipped), (1, 3));
 }
 
 #[test]
-fn an_unknown_request_has_an_empty_story() {
-    let story = RequestStory::from_lines("r-9", []);
-    assert_eq!(story.to_string(), "0 lines; 0 could not be read");
+fn unknown_request_has_an_empty_trace() {
+    let trace = RequestTrace::from_lines("r-9", []);
+    assert_eq!(trace.to_string(), "0 lines; 0 could not be read");
 }
 
 proptest! {
@@ -57,20 +57,20 @@
     })]
 
     #[test]
-    fn any_text_is_read_or_passed_over(lines in prop::collection::vec(".{0,80}", 0..20)) {
-        let story = RequestStory::from_lines("r", lines.iter().map(String::as_str));
-        prop_assert!(story.lines.len() + story.passed_over <= lines.len());
+    fn any_text_is_read_or_skipped(lines in prop::collection::vec(".{0,80}", 0..20)) {
+        let trace = RequestTrace::from_lines("r", lines.iter().map(String::as_str));
+        prop_assert!(trace.lines.len() + trace.skipped <= lines.len());
     }
 }
 
 #[test]
-fn a_line_that_tells_of_several_servers_belongs_to_the_requests_of_each() {
+fn line_about_several_servers_belongs_to_the_requests_of_each() {
     let logs = [
         line(100, "b", "EV5010", r#""id":"r-1","server":"i-7""#),
         line(97, "b", "EV5004", r#""count":9,"servers":["i-6","i-7"]"#),
         line(98, "b", "EV5004", r#""count":9,"servers":["i-6","i-9"]"#),
     ];
-    let story = RequestStory::from_lines("r-1", logs.iter().map(String::as_str));
-    let told: Vec<u64> = story.lines.iter().map(|line| line.unix_ms).collect();
-    assert_eq!(told, [97, 100]);
+    let trace = RequestTrace::from_lines("r-1", logs.iter().map(String::as_str));
+    let found: Vec<u64> = trace.lines.iter().map(|line| line.unix_ms).collect();
+    assert_eq!(found, [97, 100]);
 }
