--- a/tests/boundary.rs
+++ b/tests/boundary.rs
@@ -40,11 +40,11 @@
     "base_version",
 ];
 
-fn sources(folder: &path::Path, found: &mut Vec<path::PathBuf>) {
+fn collect_sources(folder: &path::Path, found: &mut Vec<path::PathBuf>) {
     for entry in fs::read_dir(folder).expect("a readable folder") {
         let entry = entry.expect("a readable entry").path();
         if entry.is_dir() {
-            sources(&entry, found);
+            collect_sources(&entry, found);
         } else if entry.extension().is_some_and(|kind| kind == "rs") {
             found.push(entry);
         }
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn no_wire_name_of_the_platform_stands_in_the_library() {
+fn library_contains_no_wire_names_of_the_platform() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
-    sources(&root.join("src"), &mut files);
+    collect_sources(&root.join("src"), &mut files);
     assert!(files.len() > 50, "the sources were found");
     let mut faults = Vec::new();
     for file in files {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_library_does_not_depend_on_the_platform_crate() {
+fn library_does_not_depend_on_the_platform_crate() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let manifest = fs::read_to_string(root.join("Cargo.toml")).expect("the manifest");
     let dependencies = manifest
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn requests_are_written_to_servers_behind_the_gate_only() {
+fn only_the_send_gate_writes_requests_to_servers() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
-    sources(&root.join("src/entry"), &mut files);
+    collect_sources(&root.join("src/entry"), &mut files);
     let writers = files.iter().filter(|file| {
         let text = fs::read_to_string(file).expect("a readable source");
         text.contains("send_request(")
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -9,7 +9,7 @@
 use ledgespool::{catalogue, declaration, openrpc, settings};
 
 #[test]
-fn result_code_table_is_the_code() {
+fn result_code_table_matches_the_code() {
     let text = fs::read_to_string("docs/RESULT-CODES.md").expect("the page");
     assert!(
         text.contains(&catalogue::result_code_table()),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn event_table_is_the_code() {
+fn event_table_matches_the_code() {
     let text = fs::read_to_string("docs/EVENTS.md").expect("the page");
     assert!(
         text.contains(&catalogue::event_table()),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn schema_is_the_code() {
+fn schema_matches_the_code() {
     let text = fs::read_to_string("schema/openrpc.json").expect("the schema");
     assert_eq!(
         text.trim(),
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn shipped_deployments_have_the_sizes_of_the_brief() {
+fn example_deployments_have_the_expected_sizes() {
     for (dir, services) in [
         ("firm", [(24, 9), (12, 3)]),
         ("registry", [(24, 3), (12, 3)]),
     ] {
         let declaration =
-            declaration::from_dir(&Path::new("examples").join(dir)).expect("a sound declaration");
+            declaration::from_dir(&Path::new("examples").join(dir)).expect("a valid declaration");
         assert_eq!(declaration.regions.len(), 3, "{dir}");
         assert_eq!(declaration.halls.len(), 6, "{dir}");
         for (service, (servers, slots)) in declaration.services.iter().zip(services) {
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn shipped_settings_are_sound() {
+fn example_settings_are_valid() {
     let settings =
-        settings::from_file(Path::new("examples/settings.jsonc")).expect("sound settings");
+        settings::from_file(Path::new("examples/settings.jsonc")).expect("valid settings");
     assert_eq!(settings.name, "entry-1");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -16,7 +16,7 @@
 use ledgespool::standin::caller::CallerClient;
 use ledgespool::timer;
 
-async fn code_of(
+async fn status_and_code(
     to: SocketAddr,
     path: &str,
     headers: &[(&str, &str)],
@@ -40,7 +40,7 @@
     (answer.status.as_u16(), code.to_owned())
 }
 
-fn raw(to: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).expect("a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn callers_get_numbered_refusals() {
+async fn callers_receive_numbered_refusals() {
     let system = System::start(SystemPlan {
         hosts: vec!["perth-1"],
         ..SystemPlan::default()
@@ -129,7 +129,8 @@
         large,
     ];
     for case in cases {
-        let got = code_of(system.hosts[0].callers, case.path, &case.headers, case.body).await;
+        let got =
+            status_and_code(system.hosts[0].callers, case.path, &case.headers, case.body).await;
         assert_eq!(
             got,
             (case.code.http_status(), case.code.to_string()),
@@ -142,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn garbage_hurts_nobody_else() {
+async fn malformed_input_does_not_affect_other_callers() {
     let system = System::start(SystemPlan {
         hosts: vec!["perth-1"],
         ..SystemPlan::default()
@@ -165,8 +166,8 @@
         "a".repeat(64 * 1024)
     );
     assert!(
-        raw(entry, head.as_bytes()).starts_with("HTTP/1.1 431"),
-        "an oversized head is refused"
+        send_raw(entry, head.as_bytes()).starts_with("HTTP/1.1 431"),
+        "an oversized request head is refused"
     );
     let mut caller = CallerClient::with_entries(vec![entry]);
     assert_whole(
@@ -177,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn operators_need_a_token_and_sound_parameters() {
+async fn operators_need_a_token_and_valid_parameters() {
     let system = System::start(SystemPlan {
         hosts: vec!["perth-1"],
         ..SystemPlan::default()
@@ -204,7 +205,7 @@
         ResultCode::TokenRejected,
         "a peer's method"
     );
-    let answer = raw(control, b"POST / HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}");
+    let answer = send_raw(control, b"POST / HTTP/1.1\r\nhost: a\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}");
     assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
     let wrong = serde_json::json!({ "operation": 7 });
     let refused = client(TOKEN)
@@ -217,13 +218,13 @@
     let events = system.cli(&["timeline"], &[]);
     assert!(
         String::from_utf8_lossy(&events.stdout).contains("EV2005"),
-        "refused tokens stand in the time line"
+        "refused tokens appear in the timeline"
     );
 }
 
 /// The server answers with another request's id, truncates its answers, or omits the id.
 #[tokio::test]
-async fn answers_that_are_not_whole_or_not_own_never_pass_for_such() {
+async fn truncated_or_foreign_answers_never_count_as_whole() {
     use ledgespool::standin::backend::BackendFaults;
     let system = System::start(SystemPlan {
         hosts: vec!["perth-1"],
@@ -279,7 +280,7 @@
                 assert_eq!(
                     outcome,
                     Some(RequestOutcome::Unknown),
-                    "another's answer is dropped"
+                    "the answer to another request is dropped"
                 );
             }
             let result = caller
