--- a/src/control_shell.rs
+++ b/src/control_shell.rs
@@ -68,8 +68,8 @@
     /// Runs until the controller has finished or all ports are gone.
     pub(crate) async fn run(mut self, envelopes: RingReceiver<ControlEnvelope>) {
         while let Some(envelope) = envelopes.pop().await {
-            if let Some(waiting) = envelope.waiting {
-                self.waiting.insert(waiting.ticket, waiting.sender);
+            if let Some(pending) = envelope.pending_reply {
+                self.waiting.insert(pending.ticket, pending.sender);
             }
             if self.feed(envelope.input) {
                 break;
@@ -146,7 +146,7 @@
             Err(RingFault::Full(purposed) | RingFault::Closed(purposed)) => {
                 let reply = purposed.failure();
                 // Fed back over the ring, so that a role that tries at once can't loop here.
-                let _taken = self.control.tell(ControlInput::Platform(purpose, reply));
+                let _taken = self.control.send(ControlInput::Platform(purpose, reply));
                 None
             }
         }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -57,7 +57,7 @@
 
     /// Asks the host to stop; requests in flight run to their end.
     pub fn stop(&self) {
-        while !self.control.is_closed() && !self.control.tell(ControlInput::Stop) {
+        while !self.control.is_closed() && !self.control.send(ControlInput::Stop) {
             thread::sleep(time::Duration::from_millis(1));
         }
     }
@@ -284,7 +284,7 @@
     let mut timer = TimerService::default();
     let tick = || ControlEnvelope {
         input: ControlInput::Tick,
-        waiting: None,
+        pending_reply: None,
     };
     timer.subscribe(CONTROL_TICK, control.ring(), tick);
     for worker in workers {
--- a/src/peer_link.rs
+++ b/src/peer_link.rs
@@ -128,7 +128,7 @@
         };
         if let Some(input) = result {
             // A full ring drops the answer; the next heartbeat or report brings another.
-            let _taken = self.control.tell(input);
+            let _taken = self.control.send(input);
         }
     }
 
--- a/src/platform_link.rs
+++ b/src/platform_link.rs
@@ -76,7 +76,7 @@
 async fn deliver(control: &ControlPort, purpose: CallPurpose, reply: PlatformReply) {
     const RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(5);
     while !control.is_closed() {
-        if control.tell(ControlInput::Platform(purpose, reply.clone())) {
+        if control.send(ControlInput::Platform(purpose, reply.clone())) {
             return;
         }
         tokio::time::sleep(RETRY_DELAY).await;
--- a/src/port.rs
+++ b/src/port.rs
@@ -11,24 +11,24 @@
 
 /// Inputs that may wait for the controller. When the ring is full, callers are refused with
 /// `WorkRejected` or `ControlBusy`, and ticks and reports are dropped.
-pub const CONTROL_RING: usize = 8_192;
+pub const CONTROL_RING_CAPACITY: usize = 8_192;
 
-/// The sender of an input that expects an answer.
+/// The reply that the sender of an input waits for.
 #[derive(Debug)]
-pub struct WaitingCaller {
+pub struct PendingReply {
     /// The ticket that the answer will carry.
     pub ticket: u64,
     /// The channel for the answer.
     pub sender: oneshot::Sender<ControlAnswer>,
 }
 
-/// An input, with the sender that waits for its answer.
+/// An input, with its pending reply if one is expected.
 #[derive(Debug)]
 pub struct ControlEnvelope {
     /// The input.
     pub input: ControlInput,
-    /// Receives the answer, if one is expected.
-    pub waiting: Option<WaitingCaller>,
+    /// The pending reply; `None` if no answer is expected.
+    pub pending_reply: Option<PendingReply>,
 }
 
 /// The sending half of the controller's ring.
@@ -41,7 +41,7 @@
 /// Creates the ring of a controller.
 #[must_use]
 pub fn open() -> (ControlPort, RingReceiver<ControlEnvelope>) {
-    let (ring, receiver) = ring::with_capacity(CONTROL_RING);
+    let (ring, receiver) = ring::with_capacity(CONTROL_RING_CAPACITY);
     (
         ControlPort {
             ring,
@@ -55,23 +55,23 @@
     /// Sends an input without waiting for an answer; returns false if the ring is full or the
     /// controller has stopped.
     #[must_use]
-    pub fn tell(&self, input: ControlInput) -> bool {
+    pub fn send(&self, input: ControlInput) -> bool {
         self.ring
             .push(ControlEnvelope {
                 input,
-                waiting: None,
+                pending_reply: None,
             })
             .is_ok()
     }
 
     /// Sends an input and waits for its answer; `None` if the ring is full or the controller has
     /// stopped.
-    pub async fn ask(&self, input: impl FnOnce(u64) -> ControlInput) -> Option<ControlAnswer> {
+    pub async fn request(&self, input: impl FnOnce(u64) -> ControlInput) -> Option<ControlAnswer> {
         let ticket = self.tickets.fetch_add(1, atomic::Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         let envelope = ControlEnvelope {
             input: input(ticket),
-            waiting: Some(WaitingCaller { ticket, sender }),
+            pending_reply: Some(PendingReply { ticket, sender }),
         };
         self.ring.push(envelope).ok()?;
         receiver.await.ok()
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -230,20 +230,20 @@
     })?;
     module.register_async_method(method::SETTLE, |params, context, extensions| async move {
         let settle: PeerSettle = parse_params(&params, &extensions, CallerRole::Peer)?;
-        Ok::<bool, ErrorObjectOwned>(context.control.tell(ControlInput::PeerSettle(settle)))
+        Ok::<bool, ErrorObjectOwned>(context.control.send(ControlInput::PeerSettle(settle)))
     })?;
     Ok(())
 }
 
 async fn status(context: &sync::Arc<RpcContext>) -> RpcResult<HostStatus> {
-    match context.control.ask(ControlInput::Status).await {
+    match context.control.request(ControlInput::Status).await {
         Some(ControlAnswer::Status(status)) => Ok(*status),
         _ => control_busy(),
     }
 }
 
 async fn fetch_config(context: &sync::Arc<RpcContext>) -> RpcResult<Option<ConfigObject>> {
-    match context.control.ask(ControlInput::Fetch).await {
+    match context.control.request(ControlInput::Fetch).await {
         Some(ControlAnswer::Config(object)) => Ok(object),
         _ => control_busy(),
     }
@@ -258,7 +258,7 @@
             change: params.change,
         })
     };
-    match context.control.ask(request).await {
+    match context.control.request(request).await {
         Some(ControlAnswer::Change(answer)) => match answer.result {
             Ok(generation) => Ok(ChangeResult { generation }),
             Err(fault) => Err(error_object(fault.code, &fault.detail)),
@@ -274,7 +274,7 @@
     context.events.clock().observe(params.stamp);
     let answer = context
         .control
-        .ask(|ticket| ControlInput::Heartbeat(ticket, params.heartbeat))
+        .request(|ticket| ControlInput::Heartbeat(ticket, params.heartbeat))
         .await;
     match answer {
         Some(ControlAnswer::Heartbeat(heartbeat)) => Ok(StampedHeartbeat {
@@ -291,7 +291,7 @@
 ) -> RpcResult<Option<HostGrants>> {
     match context
         .control
-        .ask(|ticket| ControlInput::Report(ticket, report))
+        .request(|ticket| ControlInput::Report(ticket, report))
         .await
     {
         Some(ControlAnswer::Grants(grants)) => Ok(grants),
@@ -305,7 +305,7 @@
 ) -> RpcResult<ClaimDecision> {
     match context
         .control
-        .ask(|ticket| ControlInput::PeerClaim(ticket, claim))
+        .request(|ticket| ControlInput::PeerClaim(ticket, claim))
         .await
     {
         Some(ControlAnswer::Claim(decision)) => Ok(decision),
@@ -314,6 +314,6 @@
 }
 
 /// Records a call without a valid token in the timeline.
-pub fn note_refused_token(events: &EventPort, peer: std::net::SocketAddr) {
+pub fn log_refused_token(events: &EventPort, peer: std::net::SocketAddr) {
     events.write(EventCode::TokenRefused, peer.ip().to_string());
 }
--- a/src/rpc_server.rs
+++ b/src/rpc_server.rs
@@ -77,7 +77,7 @@
         peer: net::SocketAddr,
     ) -> http::Response<AnswerBody> {
         let Some(role) = self.tokens.role_of(request.headers()) else {
-            rpc::note_refused_token(&self.context.events, peer);
+            rpc::log_refused_token(&self.context.events, peer);
             return error_response(ResultCode::TokenRejected);
         };
         request.extensions_mut().insert(role);
--- a/src/worker/attempt.rs
+++ b/src/worker/attempt.rs
@@ -207,7 +207,7 @@
     with_worker(|worker: &mut WorkerState| {
         if let Some(name) = worker.steering.mark_leaving(admission) {
             // When the ring is full, the server's next answer says it again.
-            let _taken = worker.control.tell(ControlInput::ServerLeaving(name));
+            let _taken = worker.control.send(ControlInput::ServerLeaving(name));
         }
     });
 }
--- a/src/worker/claiming.rs
+++ b/src/worker/claiming.rs
@@ -62,7 +62,7 @@
         attempt: attempt.clone(),
     });
     let answer = control
-        .ask(|ticket| {
+        .request(|ticket| {
             ControlInput::Claim(ClaimRequest {
                 ticket,
                 key,
--- a/src/worker/held.rs
+++ b/src/worker/held.rs
@@ -66,7 +66,7 @@
                 let _taken =
                     worker
                         .control
-                        .tell(ControlInput::Settle(claim.key, claim.attempt, status));
+                        .send(ControlInput::Settle(claim.key, claim.attempt, status));
             });
         }
     }
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -163,7 +163,7 @@
             draining: self.steering.draining_in_flight(),
         };
         // A report that finds the ring full is left out; the next one says more.
-        let _taken = self.control.tell(ControlInput::Usage(usage));
+        let _taken = self.control.send(ControlInput::Usage(usage));
     }
 }
 
