--- a/src/listener.rs
+++ b/src/listener.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 /// Time within which a request's headers must arrive, and the longest idle time of a connection.
-const HEADER_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const HEADER_READ_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 /// The largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
@@ -69,7 +69,7 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEADER_TIMEOUT)
+            .header_read_timeout(HEADER_READ_TIMEOUT)
             .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS)
             .serve_connection(TokioIo::new(stream), service);
