--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -65,7 +65,7 @@
     /// Waits until the host has stopped.
     pub fn join(self) {
         for thread in self.threads {
-            // A panic ends the thread too; the others are still joined.
+            // A thread that panicked has ended too, so its error is ignored.
             let _outcome = thread.join();
         }
         self.events.write(EventCode::ProcessStopped, String::new());
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -27,8 +27,8 @@
 /// Opens a connection, whose driver runs as a task until the connection closes.
 ///
 /// TCP keepalive is on, because a response may take long, as that of a watch does. Without
-/// keepalive a watch whose peer fell silent was detected after 6.1 s, with it after 3.0 s (all
-/// connections of nine simulated hosts silenced).
+/// keepalive a watch connection whose peer fell silent was detected after 6.1 s, with it after
+/// 3.0 s (all connections of nine simulated hosts silenced).
 ///
 /// # Errors
 /// `NotSent` when the connection cannot be opened in time.
--- a/src/peer_link.rs
+++ b/src/peer_link.rs
@@ -15,7 +15,7 @@
 
 /// Messages that may wait to be sent. When the ring is full, a message counts as unanswered.
 const PEER_RING_CAPACITY: usize = 4_096;
-/// Timeout of a small message to a peer.
+/// Timeout of a small message to a peer; a message that takes longer counts as unanswered.
 const PEER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Timeout of a configuration, which can be a megabyte.
 const FETCH_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
--- a/src/request_trace.rs
+++ b/src/request_trace.rs
@@ -10,7 +10,7 @@
 /// Lines about a server belong to a request's trace if they lie within this time of it, in
 /// milliseconds. It covers the time in which a change reaches all hosts, with a margin.
 const SERVER_EVENT_WINDOW_MS: u64 = 5_000;
-/// Fields that a trace shows outside the list of other fields.
+/// Fields in the headline of a log line; the trace lists all others below it.
 const HEADER_FIELDS: [&str; 4] = ["unix_ms", "host", "event", "text"];
 
 /// One line of a log.
--- a/src/rpc_server.rs
+++ b/src/rpc_server.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// A JSON-RPC error for a request that was refused before its call was parsed.
+/// A JSON-RPC error without the id of a call.
 fn error_response(code: ResultCode) -> http::Response<AnswerBody> {
     let error = rpc::error_object(code, "");
     let body = serde_json::json!({ "jsonrpc": "2.0", "id": null, "error": error });
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -45,7 +45,7 @@
 /// The clock for all timeouts that other processes rely on. It never goes backwards, and it
 /// includes the time for which the machine is suspended. With the monotonic clock, which excludes
 /// it, a host that was suspended for three seconds would go on granting from its share of a limit,
-/// although the owner took that share back after 0.8 s (by the constants).
+/// although the owner took that share back after 0.8 s (computed from the constants).
 ///
 /// ```
 /// use ledgespool::timer;
