--- a/src/control_thread.rs
+++ b/src/control_thread.rs
@@ -68,8 +68,8 @@
     /// Runs until the controller has finished or all senders are dropped.
     pub(crate) async fn run(mut self, envelopes: RingReceiver<ControlEnvelope>) {
         while let Some(envelope) = envelopes.pop().await {
-            if let Some(waiting) = envelope.waiting {
-                self.waiting.insert(waiting.ticket, waiting.sender);
+            if let Some(pending) = envelope.pending_reply {
+                self.waiting.insert(pending.ticket, pending.sender);
             }
             if self.handle(envelope.input) {
                 break;
@@ -148,7 +148,7 @@
                 let reply = purposed.failure();
                 // Send the failure through the ring. Handling it here would loop if the role
                 // retries immediately.
-                let _ignored = self.control.tell(ControlInput::Platform(purpose, reply));
+                let _ignored = self.control.send(ControlInput::Platform(purpose, reply));
                 None
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! ledgespool steers callers with long sessions to healthy backend servers.
+//! ledgespool routes callers with long sessions to healthy backend servers.
 //!
-//! The modules follow the path of a request: a [`declaration`] says what exists.
+//! The modules follow the path of a request: a [`declaration`] describes services, servers and
+//! limits.
 
 pub mod allocation;
 pub mod auth;
@@ -42,7 +43,7 @@
 pub mod port;
 pub mod ramp;
 pub mod report;
-pub mod request_story;
+pub mod request_trace;
 pub mod result_code;
 pub mod retry;
 pub mod ring;
@@ -52,11 +53,11 @@
 pub mod rpc_client;
 pub mod rpc_server;
 pub mod settings;
-pub mod silence_probe;
 pub mod slot_table;
 pub mod source;
 pub mod standin;
 pub mod steering;
+pub mod tcp_keepalive;
 pub mod timeline;
 pub mod timer;
 pub mod topology;
--- a/src/line_chart.rs
+++ b/src/line_chart.rs
@@ -1,4 +1,4 @@
-//! Line charts in SVG files, for the commands that draw what they measured.
+//! Line charts as SVG files, for commands that plot measurements.
 
 use std::path;
 
@@ -8,8 +8,8 @@
 use crate::result_code::ResultCode;
 
 /// Width and height, in pixels.
-const SIZE: (u32, u32) = (1_000, 420);
-/// The colours of the lines; those past the last have the last.
+const SIZE_PX: (u32, u32) = (1_000, 420);
+/// The colours of the curves; curves beyond the last colour are black.
 const COLOURS: [RGBColor; 7] = [
     RGBColor(230, 159, 0),
     RGBColor(86, 180, 233),
@@ -19,33 +19,33 @@
     RGBColor(120, 120, 120),
     BLACK,
 ];
-/// The axes end this much behind the largest value, as a share of it.
-const MARGIN: f64 = 0.05;
+/// Space above the largest value on the vertical axis, as a fraction of that value.
+const TOP_MARGIN: f64 = 0.05;
 
-/// A chart.
+/// A line chart.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LineChart<'a> {
-    /// What it shows.
+    /// The caption.
     pub title: &'a str,
-    /// The horizontal axis.
+    /// The label of the horizontal axis.
     pub x_name: &'a str,
-    /// The vertical axis.
+    /// The label of the vertical axis.
     pub y_name: &'a str,
-    /// The lines.
+    /// The curves.
     pub curves: Vec<ChartCurve<'a>>,
 }
 
-/// One line of a chart.
+/// One curve of a chart.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChartCurve<'a> {
-    /// Its name in the legend.
+    /// The name in the legend.
     pub name: &'a str,
-    /// Its points, by the horizontal axis.
+    /// The points, in the order of the horizontal axis.
     pub points: Vec<(f64, f64)>,
 }
 
 impl LineChart<'_> {
-    /// Draws the chart into an SVG file. Both axes begin at 0 and reach 1 at least.
+    /// Draws the chart into an SVG file. Both axes start at 0 and reach at least 1.
     ///
     /// # Errors
     /// `FileUnwritable` when the file cannot be written.
@@ -64,16 +64,16 @@
 
     fn draw(&self, file: &path::Path) -> std::result::Result<(), Box<dyn std::error::Error>> {
         let points = || self.curves.iter().flat_map(|curve| &curve.points);
-        let most_x = points().map(|point| point.0).fold(1.0, f64::max);
-        let most_y = points().map(|point| point.1).fold(1.0, f64::max);
-        let root = SVGBackend::new(file, SIZE).into_drawing_area();
+        let max_x = points().map(|point| point.0).fold(1.0, f64::max);
+        let max_y = points().map(|point| point.1).fold(1.0, f64::max);
+        let root = SVGBackend::new(file, SIZE_PX).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption(self.title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..most_x, 0.0..most_y * (1.0 + MARGIN))?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y * (1.0 + TOP_MARGIN))?;
         chart
             .configure_mesh()
             .x_desc(self.x_name)
@@ -83,8 +83,9 @@
         for (curve, colour) in self.curves.iter().zip(colours) {
             let line = LineSeries::new(curve.points.iter().copied(), colour.stroke_width(2));
             let series = chart.draw_series(line)?;
-            let sign = |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled());
-            series.label(curve.name).legend(sign);
+            let legend_key =
+                |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], colour.filled());
+            series.label(curve.name).legend(legend_key);
         }
         chart
             .configure_series_labels()
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -1,4 +1,4 @@
-//! An accept loop with limits on connections, headers and time, which drains at shutdown.
+//! An accept loop that limits connections, header size and time, and drains at shutdown.
 
 use std::{convert, net, time};
 
@@ -9,14 +9,14 @@
 use hyper_util::server::graceful::GracefulShutdown;
 use tokio::sync::watch;
 
-/// A request's headers must arrive within this time; also the longest idle time of a connection.
-const HEADER_TIME: time::Duration = time::Duration::from_secs(30);
-/// The largest head of a request, in bytes.
+/// Time within which a request's headers must arrive, and the longest idle time of a connection.
+const HEADER_READ_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+/// The largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
-/// Pause after a failed accept, such as one for want of file descriptors.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(20);
-const BACKLOG: u32 = 4_096;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
+const ACCEPT_BACKLOG: u32 = 4_096;
 
 /// Opens a listening socket that several threads can accept from.
 ///
@@ -30,12 +30,13 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)?.into_std()
+    socket.listen(ACCEPT_BACKLOG)?.into_std()
 }
 
-/// Accepts and serves until `stop` turns true; then lets running requests end.
+/// Accepts and serves connections until `stop` turns true, then waits for requests in flight.
 ///
-/// A connection past `max_connections` is closed unanswered, which proves that nothing was run.
+/// A connection beyond `max_connections` is closed without a response, which proves to the caller
+/// that nothing was run.
 pub async fn serve<H, F, B>(
     listener: tokio::net::TcpListener,
     max_connections: usize,
@@ -55,7 +56,7 @@
             () = stopped(&mut stop) => break,
         };
         let Ok((stream, peer)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if graceful.count() >= max_connections || stream.set_nodelay(true).is_err() {
@@ -68,13 +69,13 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEADER_TIME)
+            .header_read_timeout(HEADER_READ_TIMEOUT)
             .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS)
             .serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
-            // A broken connection concerns its caller alone, who sees it.
+            // The caller sees a broken connection itself; nobody else is affected.
             let _outcome = watched.await;
         });
     }
--- a/src/openrpc.rs
+++ b/src/openrpc.rs
@@ -1,4 +1,4 @@
-//! Prints the `OpenRPC` document of the control listener from the types of [`crate::rpc`].
+//! Generates the `OpenRPC` document of the control listener from the types in [`crate::rpc`].
 
 use schemars::JsonSchema;
 use schemars::generate::{SchemaGenerator, SchemaSettings};
@@ -17,56 +17,56 @@
     operators' methods, the hosts' for peers' methods. Durations are milliseconds, stamps hybrid \
     clocks (Unix milliseconds in the upper 48 bits). Batches are refused.";
 
-/// The document as committed in `schema/openrpc.json`.
+/// The document that `schema/openrpc.json` contains.
 #[must_use]
 pub fn document_text() -> String {
     serde_json::to_string_pretty(&document()).unwrap_or_default()
 }
 
 fn document() -> Value {
-    let mut book = SchemaBook::new();
+    let mut collector = SchemaCollector::new();
     let methods = vec![
-        book.describe::<NoParams, HostStatus>(
+        collector.describe_method::<NoParams, HostStatus>(
             method::STATUS,
             "operator",
             "The state of this entry host.",
         ),
-        book.describe::<NoParams, Option<ConfigObject>>(
+        collector.describe_method::<NoParams, Option<ConfigObject>>(
             method::DECLARATION,
             "operator",
             "The configuration in force.",
         ),
-        book.describe::<ChangeParams, ChangeResult>(
+        collector.describe_method::<ChangeParams, ChangeResult>(
             method::CHANGE,
             "operator",
             "Changes the configuration.",
         ),
-        book.describe::<TimelineParams, Vec<EventRecord>>(
+        collector.describe_method::<TimelineParams, Vec<EventRecord>>(
             method::TIMELINE,
             "operator",
             "The events of this entry host.",
         ),
-        book.describe::<StampedHeartbeat, StampedHeartbeat>(
+        collector.describe_method::<StampedHeartbeat, StampedHeartbeat>(
             method::HEARTBEAT,
             "peer",
             "A heartbeat between entry hosts.",
         ),
-        book.describe::<HostReport, Option<HostGrants>>(
+        collector.describe_method::<HostReport, Option<HostGrants>>(
             method::REPORT,
             "peer",
             "A report to the planner; its answer grants.",
         ),
-        book.describe::<NoParams, Option<ConfigObject>>(
+        collector.describe_method::<NoParams, Option<ConfigObject>>(
             method::FETCH,
             "peer",
             "The configuration, for another entry host.",
         ),
-        book.describe::<PeerClaim, ClaimDecision>(
+        collector.describe_method::<PeerClaim, ClaimDecision>(
             method::CLAIM,
             "peer",
             "A claim for the owner of its shard.",
         ),
-        book.describe::<PeerSettle, bool>(
+        collector.describe_method::<PeerSettle, bool>(
             method::SETTLE,
             "peer",
             "The outcome of a claimed request.",
@@ -80,16 +80,16 @@
             "description": DESCRIPTION,
         },
         "methods": methods,
-        "components": { "schemas": book.generator.take_definitions(true), "errors": errors() },
+        "components": { "schemas": collector.generator.take_definitions(true), "errors": errors() },
     })
 }
 
-/// Collects the types that methods share.
-struct SchemaBook {
+/// Collects the schemas of types that several methods use.
+struct SchemaCollector {
     generator: SchemaGenerator,
 }
 
-impl SchemaBook {
+impl SchemaCollector {
     fn new() -> Self {
         let mut settings = SchemaSettings::draft2020_12();
         settings.definitions_path = "/components/schemas".into();
@@ -98,7 +98,7 @@
         }
     }
 
-    fn describe<P: JsonSchema, R: JsonSchema>(
+    fn describe_method<P: JsonSchema, R: JsonSchema>(
         &mut self,
         name: &str,
         role: &str,
@@ -114,7 +114,7 @@
         })
     }
 
-    /// One parameter for each field of the parameter type.
+    /// One parameter per field of the parameter type.
     fn parameters<P: JsonSchema>(&mut self) -> Vec<Value> {
         let schema = P::json_schema(&mut self.generator).to_value();
         let required = schema.get("required").and_then(Value::as_array);
--- a/src/peer_link.rs
+++ b/src/peer_link.rs
@@ -13,12 +13,12 @@
 use crate::rpc::{NoParams, StampedHeartbeat, method};
 use crate::rpc_client::ControlClient;
 
-/// Messages that may wait to be sent. When it is full, a message counts as unanswered.
-const PEER_RING: usize = 4_096;
-/// A peer that takes longer has missed the message.
-const PEER_LIMIT: time::Duration = time::Duration::from_millis(400);
-/// A configuration may take longer: it can be a megabyte.
-const FETCH_LIMIT: time::Duration = time::Duration::from_millis(1_500);
+/// Messages that may wait to be sent. When the ring is full, a message counts as unanswered.
+const PEER_RING_CAPACITY: usize = 4_096;
+/// Timeout of a small message to a peer; a message that takes longer counts as unanswered.
+const PEER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// Timeout of a configuration, which can be a megabyte.
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 
 /// A message to another entry host.
 #[derive(Debug)]
@@ -29,15 +29,15 @@
     Report(net::SocketAddr, HostReport),
     /// A request for the configuration.
     Fetch(net::SocketAddr),
-    /// A claim for the owner of its shard.
+    /// A claim, for the owner of its shard.
     Claim(u64, net::SocketAddr, PeerClaim),
-    /// An outcome for the owner of its shard.
+    /// The outcome of a claimed request, for the owner of its shard.
     Settle(net::SocketAddr, PeerSettle),
 }
 
 impl PeerMessage {
-    /// What the controller is told when the message could not be sent; an outcome that is lost
-    /// leaves its claim pending, which is safe.
+    /// The input that reports to the controller that the message could not be sent. A lost outcome
+    /// is not reported: its claim stays pending, which is safe.
     #[must_use]
     pub fn into_failure(self) -> Option<ControlInput> {
         match self {
@@ -57,7 +57,7 @@
     clients: cell::RefCell<collections::HashMap<(net::SocketAddr, time::Duration), ControlClient>>,
 }
 
-/// Starts the peer thread; it ends when the ring's senders are gone.
+/// Starts the peer thread, which ends when the senders of its ring are dropped.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -66,7 +66,7 @@
     events: EventPort,
     token: String,
 ) -> std::io::Result<(RingSender<PeerMessage>, thread::JoinHandle<()>)> {
-    let (sender, receiver) = ring::with_capacity(PEER_RING);
+    let (sender, receiver) = ring::with_capacity(PEER_RING_CAPACITY);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -102,33 +102,33 @@
             }
             PeerMessage::Report(address, report) => {
                 let grants: Option<Option<HostGrants>> = self
-                    .call(address, method::REPORT, &report, PEER_LIMIT)
+                    .call(address, method::REPORT, &report, PEER_TIMEOUT)
                     .await;
                 Some(ControlInput::ReportDone(grants.flatten()))
             }
             PeerMessage::Fetch(address) => {
                 let object: Option<Option<ConfigObject>> = self
-                    .call(address, method::FETCH, &NoParams {}, FETCH_LIMIT)
+                    .call(address, method::FETCH, &NoParams {}, FETCH_TIMEOUT)
                     .await;
                 Some(ControlInput::Fetched(object.flatten()))
             }
             PeerMessage::Claim(ticket, address, claim) => {
-                let limit = time::Duration::from_millis(claim.time_left_ms);
+                let timeout = time::Duration::from_millis(claim.time_left_ms);
                 let decision: Option<ClaimDecision> = self
-                    .call(address, method::CLAIM, &claim, limit.min(FETCH_LIMIT))
+                    .call(address, method::CLAIM, &claim, timeout.min(FETCH_TIMEOUT))
                     .await;
                 Some(ControlInput::PeerClaimDone(ticket, decision))
             }
             PeerMessage::Settle(address, settle) => {
                 let _stored: Option<bool> = self
-                    .call(address, method::SETTLE, &settle, PEER_LIMIT)
+                    .call(address, method::SETTLE, &settle, PEER_TIMEOUT)
                     .await;
                 None
             }
         };
         if let Some(input) = result {
             // A full ring drops the answer; the next heartbeat or report brings another.
-            let _taken = self.control.tell(input);
+            let _taken = self.control.send(input);
         }
     }
 
@@ -142,7 +142,7 @@
             heartbeat,
         };
         let answer: StampedHeartbeat = self
-            .call(address, method::HEARTBEAT, &message, PEER_LIMIT)
+            .call(address, method::HEARTBEAT, &message, PEER_TIMEOUT)
             .await?;
         self.events.clock().observe(answer.stamp);
         Some(answer.heartbeat)
@@ -153,27 +153,28 @@
         address: net::SocketAddr,
         name: &str,
         params: &P,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Option<R>
     where
         P: serde::Serialize + Sync,
         R: serde::de::DeserializeOwned,
     {
-        let client = self.client(address, limit)?;
+        let client = self.client(address, timeout)?;
         client.call(name, params).await.ok()
     }
 
-    /// One client for each peer and limit: at most a few for each host that is known.
-    fn client(&self, address: net::SocketAddr, limit: time::Duration) -> Option<ControlClient> {
+    /// Returns the cached client of a peer and timeout. The timeout is rounded up, so that each
+    /// known host has a few clients at most.
+    fn client(&self, address: net::SocketAddr, timeout: time::Duration) -> Option<ControlClient> {
         const ROUNDING_MS: u128 = 100;
-        let rounded = limit.as_millis().div_ceil(ROUNDING_MS) * ROUNDING_MS;
-        let limit = time::Duration::from_millis(u64::try_from(rounded).unwrap_or(u64::MAX));
+        let rounded = timeout.as_millis().div_ceil(ROUNDING_MS) * ROUNDING_MS;
+        let timeout = time::Duration::from_millis(u64::try_from(rounded).unwrap_or(u64::MAX));
         let mut clients = self.clients.borrow_mut();
-        if let Some(client) = clients.get(&(address, limit)) {
+        if let Some(client) = clients.get(&(address, timeout)) {
             return Some(client.clone());
         }
-        let client = ControlClient::new(address, &self.token, limit).ok()?;
-        clients.insert((address, limit), client.clone());
+        let client = ControlClient::new(address, &self.token, timeout).ok()?;
+        clients.insert((address, timeout), client.clone());
         Some(client)
     }
 }
--- a/src/platform_client.rs
+++ b/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Speaks to the platform's object API: HTTP with entity tags as versions.
+//! A client of the platform's object API, which is HTTP with entity tags as versions.
 //!
 //! | call | request | answer |
 //! |---|---|---|
@@ -19,15 +19,15 @@
 };
 use crate::roster;
 
-/// Time limit of a call that does not wait for changes.
-const CALL_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// How long a watch waits for changes.
+/// Timeout of a call that does not wait for changes.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// How long the platform holds a watch open while nothing changes, in milliseconds.
 pub const WATCH_WAIT_MS: u64 = 10_000;
-const WATCH_LIMIT: time::Duration = time::Duration::from_millis(WATCH_WAIT_MS + 2_000);
-/// The largest answer: a megabyte for each of the watched objects, and their frame.
+const WATCH_TIMEOUT: time::Duration = time::Duration::from_millis(WATCH_WAIT_MS + 2_000);
+/// The largest response, in bytes: up to one megabyte per watched object, and the JSON around them.
 const MAX_ANSWER_BYTES: usize = 4 * plan::MAX_OBJECT_BYTES;
-/// Open connections kept for the next calls.
-const MAX_IDLE: usize = 8;
+/// Idle connections that are retained for later calls.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// A client of the platform, used from one thread.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 }
 
 impl PlatformClient {
-    /// A client without open connections.
+    /// Creates a client without open connections.
     #[must_use]
     pub const fn with_address(address: net::SocketAddr) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Makes a call; every failure has its place in the reply.
+    /// Makes a call; every failure is expressed in the reply.
     pub async fn call(&self, call: &PlatformCall) -> PlatformReply {
         match call {
             PlatformCall::Read(object) => PlatformReply::Read(self.read(object).await),
@@ -71,7 +71,7 @@
         ) else {
             return ReadResult::Failed;
         };
-        match self.send(request, CALL_LIMIT).await {
+        match self.send(request, CALL_TIMEOUT).await {
             Ok(answer) if answer.status == http::StatusCode::OK => match version_of(&answer) {
                 Some(version) => ReadResult::Found {
                     bytes: answer.body.to_vec(),
@@ -91,7 +91,7 @@
         else {
             return WriteResult::Uncertain;
         };
-        match self.send(request, CALL_LIMIT).await {
+        match self.send(request, CALL_TIMEOUT).await {
             Ok(answer) if answer.status == http::StatusCode::OK => match version_of(&answer) {
                 Some(version) => WriteResult::Stored { version },
                 None => WriteResult::Uncertain,
@@ -111,7 +111,7 @@
             Bytes::new(),
             WritePrecondition::Unconditional,
         )?;
-        let answer = self.send(request, WATCH_LIMIT).await.ok()?;
+        let answer = self.send(request, WATCH_TIMEOUT).await.ok()?;
         parse_body(&answer)
     }
 
@@ -122,25 +122,25 @@
             Bytes::new(),
             WritePrecondition::Unconditional,
         )?;
-        let answer = self.send(request, CALL_LIMIT).await.ok()?;
+        let answer = self.send(request, CALL_TIMEOUT).await.ok()?;
         parse_body(&answer)
     }
 
-    /// Uses an idle connection if there is a sound one. A call whose connection broke is not
-    /// repeated here: what a lost write means is for the roles to decide.
+    /// Sends on an idle connection if one is usable, else on a new one. A call whose connection
+    /// broke is not retried here, since only the roles can decide what a lost write means.
     async fn send(
         &self,
         request: http::Request<Full<Bytes>>,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<SmallAnswer, ExchangeFault> {
-        let deadline = tokio::time::Instant::now() + limit;
+        let deadline = tokio::time::Instant::now() + timeout;
         if let Some(sender) = self.take_idle() {
             match self.send_on(sender, request.clone(), deadline).await {
                 Err(ExchangeFault::NotSent) => {}
-                ended => return ended,
+                result => return result,
             }
         }
-        let sender = http_client::connect(self.address, limit.min(CALL_LIMIT)).await?;
+        let sender = http_client::connect(self.address, timeout.min(CALL_TIMEOUT)).await?;
         self.send_on(sender, request, deadline).await
     }
 
@@ -155,7 +155,7 @@
             .await
             .unwrap_or(Err(ExchangeFault::Lost))?;
         if let Ok(mut idle) = self.idle.lock()
-            && idle.len() < MAX_IDLE
+            && idle.len() < MAX_IDLE_CONNECTIONS
         {
             idle.push(sender);
         }
@@ -177,7 +177,7 @@
     format!("/v1/objects/{}/{}", object.kind, object.name)
 }
 
-/// What must hold of an object for a request to it to take effect.
+/// The condition under which a request takes effect.
 #[derive(Debug, Clone, Copy)]
 enum WritePrecondition {
     Unconditional,
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -1,6 +1,6 @@
-//! The remote procedure calls of the control listener: operators' and peers' methods.
+//! The JSON-RPC methods of the control listener, for operators and for peers.
 //!
-//! `schema/openrpc.json` is printed from these types and held to them by a test.
+//! `schema/openrpc.json` is generated from these types; a test keeps the two equal.
 
 use std::sync;
 
@@ -22,14 +22,14 @@
 use crate::result_code::ResultCode;
 use crate::timeline::{ClockStamp, EventRecord};
 
-/// Come-back time of a refused call, in milliseconds.
+/// Time after which a refused call may be retried, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
 /// Names of the methods.
 pub mod method {
     /// The host's state.
     pub const STATUS: &str = "status";
-    /// The configuration in force.
+    /// The active configuration.
     pub const DECLARATION: &str = "declaration";
     /// Change the configuration.
     pub const CHANGE: &str = "change";
@@ -39,11 +39,11 @@
     pub const HEARTBEAT: &str = "peer_heartbeat";
     /// A peer's report to the planner.
     pub const REPORT: &str = "peer_report";
-    /// A peer asks for the configuration.
+    /// A peer's request for the configuration.
     pub const FETCH: &str = "peer_fetch";
-    /// A peer passes a claim on.
+    /// A claim that a peer forwards.
     pub const CLAIM: &str = "peer_claim";
-    /// A peer passes the outcome of a claimed request on.
+    /// The outcome of a claimed request that a peer forwards.
     pub const SETTLE: &str = "peer_settle";
 }
 
@@ -51,21 +51,21 @@
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeParams {
-    /// An id of the caller's own: the same id takes effect at most once.
+    /// An id chosen by the caller; operations with the same id take effect at most once.
     pub operation: String,
-    /// The generation that the change was made for; absent to change whatever is in force.
+    /// The generation that the change is based on; absent to change the active one.
     #[serde(default)]
     pub expected_generation: Option<u64>,
     /// The change.
     pub change: ConfigChange,
 }
 
-/// The answer of `change`.
+/// The result of `change`.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 pub struct ChangeResult {
-    /// The generation that it made.
+    /// The generation that the change created.
     pub generation: u64,
 }
 
@@ -75,7 +75,7 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct TimelineParams {
-    /// Only events later than this stamp; 0 for all that are kept.
+    /// Only events later than this stamp; 0 for all retained events.
     #[serde(default)]
     pub after: ClockStamp,
 }
@@ -111,36 +111,36 @@
 #[serde(deny_unknown_fields)]
 pub struct NoParams {}
 
-/// Particulars of an error, in its `data`.
+/// Details of an error, in its `data`.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 pub struct ErrorData {
     /// The numbered code, such as `LS3002`.
     pub code: String,
-    /// What to do.
+    /// What to do about the error.
     pub advice: String,
-    /// When to come back, in milliseconds, where that can help.
+    /// When to retry, in milliseconds, if a retry can help.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What the methods work with.
+/// What the methods have access to.
 #[derive(Debug, Clone)]
 pub struct RpcContext {
-    /// The way to the controller.
+    /// The port of the controller.
     pub control: ControlPort,
-    /// The way to the event thread.
+    /// The port of the event thread.
     pub events: EventPort,
 }
 
 /// A JSON-RPC error for a numbered code.
 #[must_use]
 pub fn error_object(code: ResultCode, detail: &str) -> ErrorObjectOwned {
-    let may_pass = matches!(code.http_status(), 503 | 504);
+    let is_temporary = matches!(code.http_status(), 503 | 504);
     let data = ErrorData {
         code: code.to_string(),
         advice: code.advice().to_owned(),
-        retry_after_ms: may_pass.then_some(RETRY_AFTER_MS),
+        retry_after_ms: is_temporary.then_some(RETRY_AFTER_MS),
     };
     let message = if detail.is_empty() {
         code.text().to_owned()
@@ -152,8 +152,8 @@
 
 type RpcResult<T> = Result<T, ErrorObjectOwned>;
 
-/// Reads the parameters after checking that the caller has the right.
-fn checked<T: serde::de::DeserializeOwned>(
+/// Parses the parameters after checking that the caller has the required role.
+fn parse_params<T: serde::de::DeserializeOwned>(
     params: &Params<'_>,
     extensions: &Extensions,
     role: CallerRole,
@@ -175,33 +175,33 @@
     })
 }
 
-fn busy<T>() -> RpcResult<T> {
+fn control_busy<T>() -> RpcResult<T> {
     Err(error_object(ResultCode::ControlBusy, ""))
 }
 
-/// All methods of the control listener.
+/// Builds the module with all methods of the control listener.
 ///
 /// # Errors
 /// When a name is registered twice.
 pub fn build_module(context: RpcContext) -> Result<RpcModule<RpcContext>, RegisterMethodError> {
     let mut module = RpcModule::new(context);
     module.register_async_method(method::STATUS, |params, context, extensions| async move {
-        let _params: NoParams = checked(&params, &extensions, CallerRole::Operator)?;
+        let _params: NoParams = parse_params(&params, &extensions, CallerRole::Operator)?;
         status(&context).await
     })?;
     module.register_async_method(
         method::DECLARATION,
         |params, context, extensions| async move {
-            let _params: NoParams = checked(&params, &extensions, CallerRole::Operator)?;
-            fetch(&context).await
+            let _params: NoParams = parse_params(&params, &extensions, CallerRole::Operator)?;
+            fetch_config(&context).await
         },
     )?;
     module.register_async_method(method::CHANGE, |params, context, extensions| async move {
-        let params: ChangeParams = checked(&params, &extensions, CallerRole::Operator)?;
+        let params: ChangeParams = parse_params(&params, &extensions, CallerRole::Operator)?;
         change(&context, params).await
     })?;
     module.register_async_method(method::TIMELINE, |params, context, extensions| async move {
-        let params: TimelineParams = checked(&params, &extensions, CallerRole::Operator)?;
+        let params: TimelineParams = parse_params(&params, &extensions, CallerRole::Operator)?;
         Ok::<Vec<EventRecord>, ErrorObjectOwned>(context.events.read(params.after).await)
     })?;
     register_peer_methods(&mut module)?;
@@ -212,40 +212,40 @@
     module.register_async_method(
         method::HEARTBEAT,
         |params, context, extensions| async move {
-            let params: StampedHeartbeat = checked(&params, &extensions, CallerRole::Peer)?;
+            let params: StampedHeartbeat = parse_params(&params, &extensions, CallerRole::Peer)?;
             heartbeat(&context, params).await
         },
     )?;
     module.register_async_method(method::REPORT, |params, context, extensions| async move {
-        let report: HostReport = checked(&params, &extensions, CallerRole::Peer)?;
+        let report: HostReport = parse_params(&params, &extensions, CallerRole::Peer)?;
         report_usage(&context, report).await
     })?;
     module.register_async_method(method::FETCH, |params, context, extensions| async move {
-        let _params: NoParams = checked(&params, &extensions, CallerRole::Peer)?;
-        fetch(&context).await
+        let _params: NoParams = parse_params(&params, &extensions, CallerRole::Peer)?;
+        fetch_config(&context).await
     })?;
     module.register_async_method(method::CLAIM, |params, context, extensions| async move {
-        let claim: PeerClaim = checked(&params, &extensions, CallerRole::Peer)?;
-        take_claim(&context, claim).await
+        let claim: PeerClaim = parse_params(&params, &extensions, CallerRole::Peer)?;
+        decide_claim(&context, claim).await
     })?;
     module.register_async_method(method::SETTLE, |params, context, extensions| async move {
-        let settle: PeerSettle = checked(&params, &extensions, CallerRole::Peer)?;
-        Ok::<bool, ErrorObjectOwned>(context.control.tell(ControlInput::PeerSettle(settle)))
+        let settle: PeerSettle = parse_params(&params, &extensions, CallerRole::Peer)?;
+        Ok::<bool, ErrorObjectOwned>(context.control.send(ControlInput::PeerSettle(settle)))
     })?;
     Ok(())
 }
 
 async fn status(context: &sync::Arc<RpcContext>) -> RpcResult<HostStatus> {
-    match context.control.ask(ControlInput::Status).await {
+    match context.control.request(ControlInput::Status).await {
         Some(ControlAnswer::Status(status)) => Ok(*status),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
-async fn fetch(context: &sync::Arc<RpcContext>) -> RpcResult<Option<ConfigObject>> {
-    match context.control.ask(ControlInput::Fetch).await {
+async fn fetch_config(context: &sync::Arc<RpcContext>) -> RpcResult<Option<ConfigObject>> {
+    match context.control.request(ControlInput::Fetch).await {
         Some(ControlAnswer::Config(object)) => Ok(object),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
@@ -258,12 +258,12 @@
             change: params.change,
         })
     };
-    match context.control.ask(request).await {
+    match context.control.request(request).await {
         Some(ControlAnswer::Change(answer)) => match answer.result {
             Ok(generation) => Ok(ChangeResult { generation }),
             Err(fault) => Err(error_object(fault.code, &fault.detail)),
         },
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
@@ -274,14 +274,14 @@
     context.events.clock().observe(params.stamp);
     let answer = context
         .control
-        .ask(|ticket| ControlInput::Heartbeat(ticket, params.heartbeat))
+        .request(|ticket| ControlInput::Heartbeat(ticket, params.heartbeat))
         .await;
     match answer {
         Some(ControlAnswer::Heartbeat(heartbeat)) => Ok(StampedHeartbeat {
             stamp: context.events.clock().tick(),
             heartbeat,
         }),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
@@ -291,26 +291,29 @@
 ) -> RpcResult<Option<HostGrants>> {
     match context
         .control
-        .ask(|ticket| ControlInput::Report(ticket, report))
+        .request(|ticket| ControlInput::Report(ticket, report))
         .await
     {
         Some(ControlAnswer::Grants(grants)) => Ok(grants),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
-async fn take_claim(context: &sync::Arc<RpcContext>, claim: PeerClaim) -> RpcResult<ClaimDecision> {
+async fn decide_claim(
+    context: &sync::Arc<RpcContext>,
+    claim: PeerClaim,
+) -> RpcResult<ClaimDecision> {
     match context
         .control
-        .ask(|ticket| ControlInput::PeerClaim(ticket, claim))
+        .request(|ticket| ControlInput::PeerClaim(ticket, claim))
         .await
     {
         Some(ControlAnswer::Claim(decision)) => Ok(decision),
-        _ => busy(),
+        _ => control_busy(),
     }
 }
 
-/// Notes a call without a valid token in the time line.
-pub fn note_refused_token(events: &EventPort, peer: std::net::SocketAddr) {
+/// Records a call without a valid token in the timeline.
+pub fn log_refused_token(events: &EventPort, peer: std::net::SocketAddr) {
     events.write(EventCode::TokenRefused, peer.ip().to_string());
 }
--- a/src/rpc_server.rs
+++ b/src/rpc_server.rs
@@ -1,4 +1,5 @@
-//! The control listener: jsonrpsee's service behind our accept loop, token check and limits.
+//! The control listener: jsonrpsee's service behind this crate's accept loop, token check and
+//! limits.
 
 use std::convert::Infallible;
 use std::net;
@@ -18,12 +19,12 @@
 use crate::result_code::ResultCode;
 use crate::rpc::{self, RpcContext};
 
-/// The largest call: a declaration of a megabyte and its frame.
+/// The largest call, in bytes: a declaration of a megabyte and the JSON around it.
 const MAX_CALL_BYTES: u32 = plan::MAX_OBJECT_BYTES as u32 + 64 * 1024;
-/// The largest answer: a configuration, or the whole time line.
+/// The largest answer, in bytes: a configuration, or the whole timeline.
 const MAX_ANSWER_BYTES: u32 = 4 * plan::MAX_OBJECT_BYTES as u32;
-/// A call's body must arrive, and its answer be made, within this time.
-const CALL_LIMIT: std::time::Duration = std::time::Duration::from_secs(15);
+/// Timeout for receiving a call's body and producing its answer.
+const CALL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
 const MAX_CONNECTIONS: usize = 2_048;
 
 type AnswerBody = http_body_util::combinators::UnsyncBoxBody<
@@ -76,20 +77,20 @@
         peer: net::SocketAddr,
     ) -> http::Response<AnswerBody> {
         let Some(role) = self.tokens.role_of(request.headers()) else {
-            rpc::note_refused_token(&self.context.events, peer);
-            return refusal(ResultCode::TokenRejected);
+            rpc::log_refused_token(&self.context.events, peer);
+            return error_response(ResultCode::TokenRejected);
         };
         request.extensions_mut().insert(role);
         let mut service = self.builder.build(self.methods, self.stop);
-        match tokio::time::timeout(CALL_LIMIT, service.call(request)).await {
+        match tokio::time::timeout(CALL_TIMEOUT, service.call(request)).await {
             Ok(Ok(response)) => response.map(|body| body.map_err(Into::into).boxed_unsync()),
-            _ => refusal(ResultCode::ParameterInvalid),
+            _ => error_response(ResultCode::ParameterInvalid),
         }
     }
 }
 
-/// A JSON-RPC error that belongs to no call.
-fn refusal(code: ResultCode) -> http::Response<AnswerBody> {
+/// A JSON-RPC error without the id of a call.
+fn error_response(code: ResultCode) -> http::Response<AnswerBody> {
     let error = rpc::error_object(code, "");
     let body = serde_json::json!({ "jsonrpc": "2.0", "id": null, "error": error });
     let body = Full::from(body.to_string())
--- a/src/worker/attempt.rs
+++ b/src/worker/attempt.rs
@@ -215,7 +215,7 @@
     with_worker(|worker: &mut WorkerState| {
         if let Some(name) = worker.steering.mark_leaving(admission) {
             // If the ring is full, the server's next answer reports it again.
-            let _taken = worker.control.tell(ControlInput::ServerLeaving(name));
+            let _taken = worker.control.send(ControlInput::ServerLeaving(name));
         }
     });
 }
--- a/src/worker/claiming.rs
+++ b/src/worker/claiming.rs
@@ -65,7 +65,7 @@
         attempt: attempt.clone(),
     });
     let answer = control
-        .ask(|ticket| {
+        .request(|ticket| {
             ControlInput::Claim(ClaimRequest {
                 ticket,
                 key,
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -163,7 +163,7 @@
             draining: self.steering.draining_in_flight(),
         };
         // If the ring is full, this report is dropped; the next one follows soon.
-        let _taken = self.control.tell(ControlInput::Usage(usage));
+        let _taken = self.control.send(ControlInput::Usage(usage));
     }
 }
 
