--- a/src/losses/cause.rs
+++ b/src/losses/cause.rs
@@ -1,75 +1,81 @@
-//! Why an answer was late.
+//! Finds the main cause of a late answer.
 
 use std::fmt;
 
 use super::line::AnsweredLine;
 
-/// The main reason why an answer came after its goal: the first of these that holds.
+/// The main reason why an answer missed its goal: the first of these causes that applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LateCause {
-    /// The host answered in time, but the caller had begun earlier: it was refused before, or
-    /// looked up.
-    CameBack,
-    /// An earlier offer took the time.
-    EarlierOffer,
-    /// It was the first request about its object at its server.
-    FirstRun,
-    /// It waited at the server, longer than its work and way would have taken together.
+    /// The host answered in time, but the caller had started earlier: an earlier request was
+    /// refused, or the caller made a look-up first.
+    #[serde(rename = "came_back")]
+    CallerRetry,
+    /// An earlier attempt used up the time.
+    #[serde(rename = "earlier_offer")]
+    EarlierAttempt,
+    /// It was the first request for its object on its server.
+    #[serde(rename = "first_run")]
+    CacheMiss,
+    /// It waited at the server: the attempt took more than twice the expected work and round trip.
     Wait,
-    /// Without the way to another region it would have been in time.
-    Way,
-    /// The work itself: a slow server, or a goal that is too short for it.
+    /// It would have been in time without the expected round trip.
+    #[serde(rename = "way")]
+    NetworkLatency,
+    /// The work itself: the server is slow, or the goal is too short for the work.
     Work,
 }
 
 impl LateCause {
-    /// All causes, in the order in which they are looked for.
+    /// All causes, in the order in which they are checked.
     pub const ALL: [Self; 6] = [
-        Self::CameBack,
-        Self::EarlierOffer,
-        Self::FirstRun,
+        Self::CallerRetry,
+        Self::EarlierAttempt,
+        Self::CacheMiss,
         Self::Wait,
-        Self::Way,
+        Self::NetworkLatency,
         Self::Work,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the cause in tables and charts.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::CameBack => "came back",
-            Self::EarlierOffer => "earlier offer",
-            Self::FirstRun => "first run",
+            Self::CallerRetry => "came back",
+            Self::EarlierAttempt => "earlier offer",
+            Self::CacheMiss => "first run",
             Self::Wait => "wait",
-            Self::Way => "way",
+            Self::NetworkLatency => "way",
             Self::Work => "work",
         }
     }
 
-    /// Why `answer` was late; `None` if it was not. `begun_ms` is how long before its arrival here
-    /// the caller had begun, `first_run` whether its server was not seen to know the object.
+    /// Returns why `answer` was late, or `None` if it was in time.
+    ///
+    /// `begun_ms` is how long before the request's arrival the caller had started. `cache_miss`
+    /// states that the logs show no earlier answer for the object from this server.
     #[must_use]
-    pub fn of(answer: &AnsweredLine, begun_ms: u64, first_run: bool) -> Option<Self> {
+    pub fn of(answer: &AnsweredLine, begun_ms: u64, cache_miss: bool) -> Option<Self> {
         if answer.after_ms + begun_ms <= answer.goal_ms {
             return None;
         }
         if answer.after_ms <= answer.goal_ms {
-            return Some(Self::CameBack);
+            return Some(Self::CallerRetry);
         }
-        let offer = &answer.offer;
-        if offer.earlier_attempts > 0 && offer.took_ms <= answer.goal_ms {
-            return Some(Self::EarlierOffer);
+        let attempt = &answer.attempt;
+        if attempt.earlier_attempts > 0 && attempt.took_ms <= answer.goal_ms {
+            return Some(Self::EarlierAttempt);
         }
-        if first_run {
-            return Some(Self::FirstRun);
+        if cache_miss {
+            return Some(Self::CacheMiss);
         }
-        let took_ms = offer.took_ms as f64;
-        if took_ms > 2.0 * (offer.expected.work_ms + offer.expected.rtt_ms) {
+        let took_ms = attempt.took_ms as f64;
+        if took_ms > 2.0 * (attempt.expected.work_ms + attempt.expected.rtt_ms) {
             return Some(Self::Wait);
         }
-        if took_ms - offer.expected.rtt_ms <= answer.goal_ms as f64 {
-            return Some(Self::Way);
+        if took_ms - attempt.expected.rtt_ms <= answer.goal_ms as f64 {
+            return Some(Self::NetworkLatency);
         }
         Some(Self::Work)
     }
--- a/src/losses/line.rs
+++ b/src/losses/line.rs
@@ -1,4 +1,4 @@
-//! One line of a decision log, as far as losses go.
+//! Parses the lines of a decision log that record the outcome of a request.
 
 use serde::Deserialize as _;
 use serde_json::Value;
@@ -8,14 +8,14 @@
 use crate::event::EventCode;
 use crate::result_code::ResultCode;
 
-/// A line that tells of a request's end.
+/// A line of a decision log, by the outcome that it records.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LossLine {
-    /// A server's answer was passed on.
+    /// A server's answer was forwarded to the caller.
     Answered(AnsweredLine),
-    /// The request ended without one.
+    /// The request ended without a server's answer.
     Failed(FailedLine),
-    /// Something else.
+    /// The line records another event.
     Other,
 }
 
@@ -24,20 +24,21 @@
 pub struct AnsweredLine {
     /// The host's clock, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Its route.
+    /// The request's route.
     pub route: String,
     /// The server that answered.
     pub server: String,
-    /// From the arrival to the answer, in milliseconds.
+    /// Time from the arrival to the answer, in milliseconds.
     pub after_ms: u64,
-    /// An answer within this time is worth most, in milliseconds.
+    /// The latency goal of the request, in milliseconds.
     pub goal_ms: u64,
-    /// The time that the caller would still wait when the request arrived, in milliseconds.
+    /// How long the caller was still willing to wait when the request arrived, in milliseconds.
     pub time_left_ms: Option<u64>,
-    /// A hash of the object, on routes that keep objects together.
+    /// A hash of the object, on routes with object affinity.
     pub object: Option<String>,
-    /// The offer that was answered.
-    pub offer: AttemptRecord,
+    /// The attempt that was answered.
+    #[serde(rename = "offer")]
+    pub attempt: AttemptRecord,
 }
 
 /// A request that was not answered by a server.
@@ -45,19 +46,20 @@
 pub struct FailedLine {
     /// The host's clock, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Its route; empty if none was found.
+    /// The route of the request; empty if no route matched.
     pub route: String,
-    /// How it ended, such as `refused_full`.
-    pub end: String,
-    /// Free slots within reach when it was refused, as far as the host knew.
+    /// The outcome, such as `refused_full`.
+    #[serde(rename = "end")]
+    pub outcome: String,
+    /// Free slots on reachable servers at the refusal, as far as the host knew.
     #[serde(default)]
     pub free_slots: Option<u32>,
 }
 
-/// Reads one line; text before the first brace, such as a log shipper's, is passed over.
+/// Parses one line. Text before the first brace, such as a log shipper's prefix, is skipped.
 ///
 /// # Errors
-/// `LogLineInvalid` when it is not a line of a decision log, or lacks what its event tells.
+/// `LogLineInvalid` when it is not a line of a decision log, or a field of its event is missing.
 ///
 /// ```
 /// use ledgespool::losses::line::{self, LossLine};
--- a/src/losses/mod.rs
+++ b/src/losses/mod.rs
@@ -1,9 +1,9 @@
-//! Where requests lost their worth: answers that came late and why, refusals, and how far off the
-//! hosts' expectations were, read back from the decision logs of any number of hosts.
+//! Analyses the decision logs of any number of hosts: late answers and their causes, failed
+//! requests, and the error of the hosts' expected times.
 //!
-//! [`mod@line`] reads one line, [`cause`] says why an answer was late, [`report`] sums up,
-//! [`plot`] draws. A host sees a request from its arrival to its answer: the caller's own way is
-//! counted only as far as the caller's remaining time tells of it.
+//! [`mod@line`] parses one line, [`cause`] finds why an answer was late, [`report`] aggregates,
+//! [`plot`] draws. A host sees a request only from its arrival to its answer. Time that the caller
+//! spent before is counted only where the caller's remaining time shows it.
 
 pub mod cause;
 pub mod line;
--- a/src/losses/plot.rs
+++ b/src/losses/plot.rs
@@ -1,4 +1,4 @@
-//! Losses over time as a picture.
+//! Draws losses over time as a chart.
 
 use std::path;
 
@@ -7,7 +7,7 @@
 use crate::error::Result;
 use crate::line_chart::{ChartCurve, LineChart};
 
-/// Draws late and failed requests of each window into an SVG file.
+/// Writes an SVG chart of the late and failed requests in each time window.
 ///
 /// # Errors
 /// `FileUnwritable` when the file cannot be written.
--- a/src/losses/report.rs
+++ b/src/losses/report.rs
@@ -1,68 +1,73 @@
-//! Sums of losses, by route and over time.
+//! Aggregates late and failed requests by route and by time window.
 
 use std::{collections, fmt};
 
 use super::cause::LateCause;
 use super::line::{self, AnsweredLine, FailedLine, LossLine};
 
-/// The length of a time window, in milliseconds.
+/// Length of a time window, in milliseconds.
 pub const WINDOW_MS: u64 = 2_000;
-/// Faults of unreadable lines that are kept for the report; the others are only counted.
-const KEPT_FAULTS: usize = 5;
+/// Number of unreadable lines whose errors the report lists; further ones are only counted.
+const MAX_LISTED_FAULTS: usize = 5;
 
-/// Where requests lost their worth.
+/// Late and failed requests, and the error of expected times.
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize)]
 pub struct LossReport {
-    /// By route.
+    /// Losses by route.
     pub routes: collections::BTreeMap<String, RouteLosses>,
-    /// By the start of each window, in Unix milliseconds.
+    /// Counts by the start of each time window, in Unix milliseconds.
     pub windows: collections::BTreeMap<u64, LossCounts>,
     /// Lines that could not be read.
     pub unreadable: u64,
-    /// What was wrong with the first of them.
+    /// The errors of the first unreadable lines.
     pub faults: Vec<String>,
 }
 
-/// How requests ended.
+/// Request counts by outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize)]
 pub struct LossCounts {
     /// Answered within their goal.
     pub in_time: u64,
-    /// Answered later, by the main reason.
+    /// Answered after their goal, by the main cause.
     pub late: collections::BTreeMap<LateCause, u64>,
-    /// Not answered by a server, by how they ended.
+    /// Not answered by a server, by outcome.
     pub ended: collections::BTreeMap<String, u64>,
-    /// Refused as full while a server within reach had a free slot.
-    pub refused_with_room: u64,
+    /// Refused although a reachable server had a free slot.
+    #[serde(rename = "refused_with_room")]
+    pub refused_with_free_slots: u64,
 }
 
-/// The losses of one route, and how far off its expectations were.
+/// The losses of one route, and the error of its expected times.
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize)]
 pub struct RouteLosses {
-    /// How its requests ended.
+    /// Request counts by outcome.
     pub counts: LossCounts,
-    /// How far off the expected time was where the server knew the object.
-    pub known: ExpectationError,
-    /// The same for first runs that were taken for such.
-    pub first: ExpectationError,
-    /// The same for first runs on servers that were taken to know the object.
-    pub mistaken: ExpectationError,
+    /// Error of the expected time where the server had the object cached.
+    #[serde(rename = "known")]
+    pub cached: ExpectationError,
+    /// Error of the expected time for cache misses that the host expected.
+    #[serde(rename = "first")]
+    pub expected_miss: ExpectationError,
+    /// Error of the expected time for cache misses where the host expected a cached object.
+    #[serde(rename = "mistaken")]
+    pub unexpected_miss: ExpectationError,
 }
 
-/// Told times that differ by less than this are alike, in milliseconds: the ways and the wait for a turn.
-const ALIKE_MS: u64 = 40;
-/// Of callers with times of their own, this share told less since they came back: about as many as come back on
-/// a day with trouble.
-const SHORT_SHARE: f64 = 0.05;
+/// Remaining times that differ by at most this count as equal, in milliseconds. It covers network
+/// latency and scheduling delays.
+const EQUAL_TIME_TOLERANCE_MS: u64 = 40;
+/// Where callers have individual time limits, this share of them is taken to report less because
+/// they retried. It is about the share of retries on a day with incidents.
+const RETRY_SHARE: f64 = 0.05;
 
-/// By how much answers came later (above zero) or earlier than expected, in milliseconds.
+/// Time taken minus time expected, in milliseconds; positive if answers came later than expected.
 #[derive(Debug, Clone, Copy, Default, PartialEq, serde::Serialize)]
 pub struct ExpectationError {
-    /// Answers.
+    /// Number of answers.
     pub answers: u64,
-    /// The median.
+    /// Median error.
     pub median_ms: f64,
-    /// What nine in ten stay below.
+    /// 90th percentile of the error.
     pub p90_ms: f64,
 }
 
@@ -70,7 +75,7 @@
     fn of(mut errors: Vec<f64>) -> Self {
         errors.sort_by(f64::total_cmp);
         let at = |share: f64| {
-            // The product lies within the length.
+            // The index is below the length, as the share is below 1.
             let place = (errors.len() as f64 * share) as usize;
             errors.get(place).copied().unwrap_or(0.0)
         };
@@ -83,7 +88,7 @@
 }
 
 impl LossReport {
-    /// Reads log lines of any number of hosts, in any order.
+    /// Builds the report from log lines of any number of hosts, in any order.
     ///
     /// ```
     /// use ledgespool::losses::report::LossReport;
@@ -92,7 +97,7 @@
     ///     "cut off",
     /// ];
     /// let report = LossReport::from_lines(logs);
-    /// assert_eq!(report.routes["reads"].counts.refused_with_room, 1);
+    /// assert_eq!(report.routes["reads"].counts.refused_with_free_slots, 1);
     /// assert_eq!(report.unreadable, 1);
     /// ```
     pub fn from_lines<'a>(lines: impl IntoIterator<Item = &'a str>) -> Self {
@@ -112,7 +117,7 @@
 
     fn on_fault(&mut self, fault: &crate::error::Error) {
         self.unreadable += 1;
-        if self.faults.len() < KEPT_FAULTS {
+        if self.faults.len() < MAX_LISTED_FAULTS {
             self.faults.push(fault.to_string());
         }
     }
@@ -121,32 +126,32 @@
         let route = self.routes.entry(line.route.clone()).or_default();
         let window = self.windows.entry(window_of(line.unix_ms)).or_default();
         for counts in [&mut route.counts, window] {
-            *counts.ended.entry(line.end.clone()).or_default() += 1;
-            counts.refused_with_room += u64::from(line.free_slots.unwrap_or(0) > 0);
+            *counts.ended.entry(line.outcome.clone()).or_default() += 1;
+            counts.refused_with_free_slots += u64::from(line.free_slots.unwrap_or(0) > 0);
         }
     }
 
     fn on_answered(&mut self, mut answered: Vec<AnsweredLine>) {
-        // In the order in which the servers got them, so that the first on an object is found.
-        answered.sort_by_key(|line| line.unix_ms.saturating_sub(line.offer.took_ms));
-        let first = first_times(&answered);
-        let mut met = collections::HashSet::new();
+        // Sorts by the time of sending to the server, to find the first request for each object.
+        answered.sort_by_key(|line| line.unix_ms.saturating_sub(line.attempt.took_ms));
+        let first = initial_times(&answered);
+        let mut seen = collections::HashSet::new();
         let mut errors = collections::HashMap::<String, ErrorSamples>::new();
         for line in &answered {
-            let first_run = line
+            let cache_miss = line
                 .object
                 .as_ref()
-                .is_some_and(|object| met.insert((line.server.clone(), object.clone())));
+                .is_some_and(|object| seen.insert((line.server.clone(), object.clone())));
             let begun_ms = begun_ms(line, &first);
-            self.count_answer(line, LateCause::of(line, begun_ms, first_run));
+            self.count_answer(line, LateCause::of(line, begun_ms, cache_miss));
             let samples = errors.entry(line.route.clone()).or_default();
-            samples.push(line, first_run);
+            samples.push(line, cache_miss);
         }
         for (name, samples) in errors {
             let route = self.routes.entry(name).or_default();
-            route.known = ExpectationError::of(samples.known);
-            route.first = ExpectationError::of(samples.first);
-            route.mistaken = ExpectationError::of(samples.mistaken);
+            route.cached = ExpectationError::of(samples.cached);
+            route.expected_miss = ExpectationError::of(samples.expected_miss);
+            route.unexpected_miss = ExpectationError::of(samples.unexpected_miss);
         }
     }
 
@@ -162,55 +167,62 @@
     }
 }
 
-/// Differences between the time taken and the time expected, in milliseconds.
+/// Time taken minus time expected, in milliseconds, one value an answer.
 #[derive(Debug, Default)]
 struct ErrorSamples {
-    known: Vec<f64>,
-    first: Vec<f64>,
-    mistaken: Vec<f64>,
+    cached: Vec<f64>,
+    expected_miss: Vec<f64>,
+    unexpected_miss: Vec<f64>,
 }
 
 impl ErrorSamples {
-    fn push(&mut self, line: &AnsweredLine, first_run: bool) {
-        let error_ms = line.offer.took_ms as f64 - line.offer.expected.total_ms();
-        let samples = match (first_run, line.offer.expected.object_cached) {
-            (false, _) => &mut self.known,
-            (true, false) => &mut self.first,
-            (true, true) => &mut self.mistaken,
+    fn push(&mut self, line: &AnsweredLine, cache_miss: bool) {
+        let error_ms = line.attempt.took_ms as f64 - line.attempt.expected.total_ms();
+        let samples = match (cache_miss, line.attempt.expected.object_cached) {
+            (false, _) => &mut self.cached,
+            (true, false) => &mut self.expected_miss,
+            (true, true) => &mut self.unexpected_miss,
         };
         samples.push(error_ms);
     }
 }
 
-/// The time that callers of each route begin with. Where most tell the same, that is the most that any
-/// told. Where each caller has a time of its own, one that told less need not have begun before: then it is what all
-/// but [`SHORT_SHARE`] told at least.
-fn first_times<'a>(answered: &'a [AnsweredLine]) -> collections::HashMap<&'a str, u64> {
-    let mut told = collections::HashMap::<&'a str, Vec<u64>>::new();
+/// Returns the estimated initial time limit of the callers of each route.
+///
+/// Where most callers of a route report the same time, that is the maximum. Where callers have
+/// individual time limits, a lower value is no sign of a retry: then it is the value that all but
+/// [`RETRY_SHARE`] of the callers report at least.
+fn initial_times<'a>(answered: &'a [AnsweredLine]) -> collections::HashMap<&'a str, u64> {
+    let mut reported = collections::HashMap::<&'a str, Vec<u64>>::new();
     for line in answered {
         if let Some(left_ms) = line.time_left_ms {
-            told.entry(line.route.as_str()).or_default().push(left_ms);
+            reported
+                .entry(line.route.as_str())
+                .or_default()
+                .push(left_ms);
         }
     }
-    let first = told.into_iter().map(|(route, mut times)| {
+    let first = reported.into_iter().map(|(route, mut times)| {
         times.sort_unstable();
-        (route, first_time(&times))
+        (route, initial_time(&times))
     });
     first.collect()
 }
 
-fn first_time(sorted: &[u64]) -> u64 {
-    let most = sorted.last().copied().unwrap_or(0);
-    let alike = sorted.iter().filter(|time| **time + ALIKE_MS >= most);
-    if 2 * alike.count() >= sorted.len() {
-        return most;
+fn initial_time(sorted: &[u64]) -> u64 {
+    let max = sorted.last().copied().unwrap_or(0);
+    let equal = sorted
+        .iter()
+        .filter(|time| **time + EQUAL_TIME_TOLERANCE_MS >= max);
+    if 2 * equal.count() >= sorted.len() {
+        return max;
     }
-    // Less than the length.
-    let place = (sorted.len() as f64 * SHORT_SHARE) as usize;
-    sorted.get(place).copied().unwrap_or(most)
+    // The index is below the length, as the share is below 1.
+    let place = (sorted.len() as f64 * RETRY_SHARE) as usize;
+    sorted.get(place).copied().unwrap_or(max)
 }
 
-/// How long before its arrival the caller had begun, in milliseconds.
+/// Returns how long before the request's arrival the caller had started, in milliseconds.
 fn begun_ms(line: &AnsweredLine, first: &collections::HashMap<&str, u64>) -> u64 {
     let first_ms = first.get(line.route.as_str()).copied().unwrap_or(0);
     line.time_left_ms
@@ -222,7 +234,7 @@
 }
 
 impl LossCounts {
-    /// All requests that ended.
+    /// Returns the number of all requests.
     #[must_use]
     pub fn all(&self) -> u64 {
         let late: u64 = self.late.values().sum();
@@ -238,13 +250,13 @@
             "{:>9}{:>9}{late}{ended:>9}{:>11}",
             self.all(),
             self.in_time,
-            self.refused_with_room
+            self.refused_with_free_slots
         )
     }
 }
 
-/// The heads of the columns that [`LossCounts::cells`] fills.
-fn heads() -> String {
+/// Returns the headings of the columns that [`LossCounts::cells`] fills.
+fn headings() -> String {
     let late = LateCause::ALL.map(|cause| format!("{cause:>14}")).concat();
     format!(
         "{:>9}{:>9}{late}{:>9}{:>11}",
@@ -254,11 +266,11 @@
 
 impl fmt::Display for LossReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{:<16}{}", "route", heads())?;
+        writeln!(f, "{:<16}{}", "route", headings())?;
         for (name, route) in &self.routes {
             writeln!(f, "{name:<16}{}", route.counts.cells())?;
         }
-        writeln!(f, "\n{:<16}{}", "from second", heads())?;
+        writeln!(f, "\n{:<16}{}", "from second", headings())?;
         let first = self.windows.keys().next().copied().unwrap_or(0);
         for (start, counts) in &self.windows {
             writeln!(f, "{:<16}{}", (start - first) / 1_000, counts.cells())?;
@@ -269,7 +281,7 @@
         )?;
         for (name, route) in &self.routes {
             write!(f, "{name:<16}")?;
-            for error in [route.known, route.first, route.mistaken] {
+            for error in [route.cached, route.expected_miss, route.unexpected_miss] {
                 write!(f, "{:>8.0}{:>7.0} |", error.median_ms, error.p90_ms)?;
             }
             writeln!(f)?;
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Where requests lost their worth, from logs as they come: mixed, cut, prefixed.
+//! The loss report from realistic logs: lines of several hosts mixed, truncated or prefixed.
 
 use ledgespool::losses::cause::LateCause;
 use ledgespool::losses::line::{self, LossLine};
@@ -6,7 +6,7 @@
 use ledgespool::losses::report::{LossCounts, LossReport};
 use proptest::prelude::*;
 
-/// An answered request, with what decides why it was late.
+/// An answered request, with the fields that decide why it was late.
 #[derive(Clone, Copy)]
 struct Answer {
     unix_ms: u64,
@@ -14,20 +14,20 @@
     object: &'static str,
     after_ms: u64,
     took_ms: u64,
-    way_ms: f64,
-    offers_before: usize,
+    rtt_ms: f64,
+    earlier_attempts: usize,
     time_left_ms: u64,
 }
 
-/// In time, on a server that knows the object, of a goal of 200 ms.
-const SOUND: Answer = Answer {
+/// An answer in time: the goal is 200 ms.
+const IN_TIME: Answer = Answer {
     unix_ms: 10_000,
     server: "i-1",
     object: "o-1",
     after_ms: 140,
     took_ms: 140,
-    way_ms: 40.0,
-    offers_before: 0,
+    rtt_ms: 40.0,
+    earlier_attempts: 0,
     time_left_ms: 1_000,
 };
 
@@ -40,9 +40,9 @@
             self.after_ms,
             self.time_left_ms,
             self.object,
-            self.way_ms,
+            self.rtt_ms,
             self.took_ms,
-            self.offers_before
+            self.earlier_attempts
         )
     }
 }
@@ -52,43 +52,43 @@
     LossReport::from_lines(texts.iter().map(String::as_str))
 }
 
-/// The causes of the late answers but the first, which makes the object known.
+/// Returns the causes of late answers after a first answer in time, which caches the object.
 fn causes(answer: Answer) -> Vec<(LateCause, u64)> {
     let later = Answer {
         unix_ms: 20_000,
         ..answer
     };
-    let report = report(&[SOUND, later]);
+    let report = report(&[IN_TIME, later]);
     let late = &report.routes["reads"].counts.late;
     late.iter().map(|(cause, count)| (*cause, *count)).collect()
 }
 
 #[test]
 fn each_late_answer_has_one_cause() {
-    assert_eq!(causes(SOUND), []);
+    assert_eq!(causes(IN_TIME), []);
     let cases = [
         (
-            LateCause::CameBack,
+            LateCause::CallerRetry,
             Answer {
                 time_left_ms: 800,
-                ..SOUND
+                ..IN_TIME
             },
         ),
         (
-            LateCause::EarlierOffer,
+            LateCause::EarlierAttempt,
             Answer {
                 after_ms: 400,
-                offers_before: 1,
-                ..SOUND
+                earlier_attempts: 1,
+                ..IN_TIME
             },
         ),
         (
-            LateCause::FirstRun,
+            LateCause::CacheMiss,
             Answer {
                 object: "o-2",
                 after_ms: 350,
                 took_ms: 350,
-                ..SOUND
+                ..IN_TIME
             },
         ),
         (
@@ -96,15 +96,15 @@
             Answer {
                 after_ms: 500,
                 took_ms: 500,
-                ..SOUND
+                ..IN_TIME
             },
         ),
         (
-            LateCause::Way,
+            LateCause::NetworkLatency,
             Answer {
                 after_ms: 220,
                 took_ms: 220,
-                ..SOUND
+                ..IN_TIME
             },
         ),
         (
@@ -112,7 +112,7 @@
             Answer {
                 after_ms: 270,
                 took_ms: 270,
-                ..SOUND
+                ..IN_TIME
             },
         ),
     ];
@@ -121,19 +121,19 @@
     }
 }
 
-/// Callers that each wait for a time of their own have not come back for that.
+/// Individual time limits must not be mistaken for retries.
 #[test]
-fn callers_with_times_of_their_own_did_not_come_back() {
+fn callers_with_individual_time_limits_are_not_counted_as_retries() {
     let answers: Vec<Answer> = (0..100)
         .map(|number| Answer {
             unix_ms: 10_000 + number,
             time_left_ms: 1_000 - 2 * number,
-            ..SOUND
+            ..IN_TIME
         })
         .collect();
     let report = report(&answers);
     let late: u64 = report.windows.values().map(late_sum).sum();
-    assert!(late <= 5, "{late} of 100 are taken for late");
+    assert!(late <= 5, "{late} of 100 count as late");
 }
 
 fn late_sum(counts: &LossCounts) -> u64 {
@@ -141,30 +141,30 @@
 }
 
 #[test]
-fn expectations_are_judged_apart_for_first_runs() {
+fn expectation_errors_are_separate_for_cache_misses() {
     let first = Answer {
         took_ms: 400,
-        ..SOUND
+        ..IN_TIME
     };
     let again = Answer {
         unix_ms: 20_000,
         took_ms: 150,
-        ..SOUND
+        ..IN_TIME
     };
     let report = report(&[first, again]);
     let route = &report.routes["reads"];
-    assert_eq!(route.known.answers, 1);
-    assert!((route.known.median_ms - 10.0).abs() < 1e-9);
-    assert_eq!(route.mistaken.answers, 1);
-    assert!((route.mistaken.median_ms - 260.0).abs() < 1e-9);
+    assert_eq!(route.cached.answers, 1);
+    assert!((route.cached.median_ms - 10.0).abs() < 1e-9);
+    assert_eq!(route.unexpected_miss.answers, 1);
+    assert!((route.unexpected_miss.median_ms - 260.0).abs() < 1e-9);
 }
 
 #[test]
-fn bad_lines_are_counted_with_a_numbered_error() {
-    let whole = SOUND.text();
+fn unreadable_lines_are_counted_with_an_error_code() {
+    let whole = IN_TIME.text();
     let cut = &whole[..whole.len() / 2];
-    let lacking = r#"{"unix_ms":1,"event":"EV5012","route":"reads"}"#;
-    let report = LossReport::from_lines([whole.as_str(), cut, "no JSON", lacking, "{}"]);
+    let incomplete = r#"{"unix_ms":1,"event":"EV5012","route":"reads"}"#;
+    let report = LossReport::from_lines([whole.as_str(), cut, "no JSON", incomplete, "{}"]);
     assert_eq!(report.unreadable, 4);
     assert!(
         report
@@ -177,19 +177,19 @@
 }
 
 #[test]
-fn the_picture_is_written_or_a_numbered_error_told() {
+fn the_chart_is_written_or_an_error_code_returned() {
     let late = Answer {
         after_ms: 500,
         took_ms: 500,
         unix_ms: 14_000,
-        ..SOUND
+        ..IN_TIME
     };
-    let report = report(&[SOUND, late]);
+    let report = report(&[IN_TIME, late]);
     let file = std::env::temp_dir().join(format!("losses-{}.svg", std::process::id()));
     plot::write_svg(&report, &file).expect("written");
-    let picture = std::fs::read_to_string(&file).expect("a file");
+    let chart = std::fs::read_to_string(&file).expect("a file");
     std::fs::remove_file(&file).expect("removed");
-    assert!(picture.contains("first run") && picture.contains("polyline"));
+    assert!(chart.contains("first run") && chart.contains("polyline"));
     let nowhere = std::path::Path::new("/nonexistent/losses.svg");
     let fault = plot::write_svg(&report, nowhere).expect_err("no such directory");
     assert!(fault.to_string().starts_with("LS1014"));
@@ -202,15 +202,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever stands in a log, each line is counted once: as an end, as another line, or as
+    /// Each line of any text is counted once: as a request's outcome, as another event, or as
     /// unreadable.
     #[test]
-    fn any_text_is_read_without_harm(
+    fn each_line_of_any_text_is_counted_once(
         garbage in proptest::collection::vec(any::<String>(), 0..20),
         cut in 0_usize..300,
         answers in 0_usize..20,
     ) {
-        let whole = SOUND.text();
+        let whole = IN_TIME.text();
         let cut: String = whole.chars().take(cut).collect();
         let mut lines: Vec<&str> = garbage.iter().map(String::as_str).collect();
         lines.extend(std::iter::repeat_n(whole.as_str(), answers));
