--- a/src/bin/ledgespool-standin/app.rs
+++ b/src/bin/ledgespool-standin/app.rs
@@ -4,16 +4,16 @@
 
 use bpaf::Bpaf;
 
-/// Stand-ins for what ledgespool meets in the world, and a load that drives it.
+/// Stand-ins for the systems around ledgespool, and a load generator.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum StandinCommand {
-    /// The platform: objects, watches, host list
+    /// The platform: objects, watches and the host list
     ///
     /// Example: ledgespool-standin platform --listen 127.0.0.1:7100
     #[bpaf(command)]
     Platform {
-        /// Where it listens; port 0 takes a free one and prints it
+        /// Address to listen on; port 0 picks a free port, which is printed
         #[bpaf(argument("IP:PORT"))]
         listen: net::SocketAddr,
     },
@@ -22,10 +22,10 @@
     /// Example: ledgespool-standin backend --listen 127.0.0.1:7201 --slots 9
     #[bpaf(command)]
     Backend {
-        /// Requests that each runs at once
+        /// Requests that each server runs at once
         #[bpaf(argument("N"), fallback(9))]
         slots: usize,
-        /// Where it listens; may be repeated for several servers in one process
+        /// Address to listen on; may be repeated for several servers in one process
         #[bpaf(argument("IP:PORT"), some("at least one --listen is needed"))]
         listen: Vec<net::SocketAddr>,
     },
@@ -34,22 +34,22 @@
     /// Example: ledgespool-standin proxy --listen 127.0.0.1:7300 --to 127.0.0.1:7100 --admin 127.0.0.1:7301
     #[bpaf(command)]
     Proxy {
-        /// Where it listens
+        /// Address to listen on
         #[bpaf(argument("IP:PORT"))]
         listen: net::SocketAddr,
-        /// Where it passes connections to
+        /// Address to forward connections to
         #[bpaf(argument("IP:PORT"))]
         to: net::SocketAddr,
-        /// Where it takes `PUT /` with "pass", "freeze", "cut", "`lose_answers`" or {"delay": MS}
+        /// Address that accepts `PUT /` with "pass", "freeze", "cut", "`lose_answers`" or {"delay": MS}
         #[bpaf(argument("IP:PORT"))]
         admin: net::SocketAddr,
     },
-    /// An open-loop load
+    /// Generate an open-loop load
     ///
     /// Example: ledgespool-standin load --entry 127.0.0.1:7001 --mix mix.json --rate 200 --requests 2000
     #[bpaf(command)]
     Load {
-        /// Entry hosts to ask first
+        /// Entry hosts for the first look-up
         #[bpaf(argument("IP:PORT"), some("at least one --entry is needed"))]
         entry: Vec<net::SocketAddr>,
         /// The mix: a JSON list of classes, see examples/mix.json
@@ -64,18 +64,18 @@
         /// Seed of arrivals, mix and work
         #[bpaf(argument("N"), fallback(1))]
         seed: u64,
-        /// Callers' addresses, as trusted forwarders name them
+        /// Callers' addresses, as trusted forwarders state them
         #[bpaf(argument("IP"))]
         from: Vec<net::IpAddr>,
         /// Print JSON
         json: bool,
     },
-    /// A closed loop: callers that send the same request one after the other
+    /// Generate a closed-loop load: callers that send the same request one after the other
     ///
     /// Example: ledgespool-standin repeat --to 127.0.0.1:7001 --path '/lookup?service=desk'
     #[bpaf(command)]
     Repeat {
-        /// Where to
+        /// Address to send to
         #[bpaf(argument("IP:PORT"))]
         to: net::SocketAddr,
         /// Path and query
@@ -90,7 +90,7 @@
         /// Threads that drive them
         #[bpaf(argument("N"), fallback(1))]
         threads: usize,
-        /// How long
+        /// How long, in seconds
         #[bpaf(argument("N"), fallback(3))]
         seconds: u64,
     },
--- a/src/bin/ledgespool-standin/main.rs
+++ b/src/bin/ledgespool-standin/main.rs
@@ -1,4 +1,4 @@
-//! `ledgespool-standin`: the project's own stand-ins and load. Thin: everything is in the library.
+//! `ledgespool-standin` runs the stand-ins and the load generator. The library contains all logic.
 
 mod app;
 
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Prints the addresses, one a line, and serves until the process is ended.
+/// Prints the addresses, one a line, and serves until the process is killed.
 fn serve(standins: Vec<standin::RunningStandin>) {
     for standin in &standins {
         println!("listening {}", standin.address());
--- a/src/bin/ledgespool/app.rs
+++ b/src/bin/ledgespool/app.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 
-/// Where the entry host is and who asks.
+/// The entry host to call and the operator's credentials.
 #[derive(Debug, Clone, Bpaf)]
 pub struct HostOptions {
     /// Control address of any entry host
@@ -15,7 +15,7 @@
         fallback(default_host())
     )]
     pub host: net::SocketAddr,
-    /// File that holds the operator token; else `LEDGESPOOL_TOKEN` is taken
+    /// File that holds the operator token; by default, `LEDGESPOOL_TOKEN` is used
     #[bpaf(long, argument("FILE"), optional)]
     pub token_file: Option<path::PathBuf>,
     /// Print JSON
@@ -26,10 +26,10 @@
     net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::LOCALHOST), 7_002)
 }
 
-/// What to play.
+/// The experiment to run.
 #[derive(Debug, Clone, Bpaf)]
 pub enum ExperimentCommand {
-    /// Compare the ways to keep the limits of customers over all hosts
+    /// Compare strategies that enforce customers' limits over all hosts
     ///
     /// Example: ledgespool experiment limits examples/limits/pressing-customer.jsonc
     #[bpaf(command)]
@@ -42,7 +42,7 @@
         /// Draw each customer's fullest window into this file
         #[bpaf(long, argument("FILE.svg"), optional)]
         plot: Option<path::PathBuf>,
-        /// What happens: JSON with comments
+        /// The scenario: JSON with comments
         #[bpaf(positional("FILE"))]
         file: path::PathBuf,
     },
@@ -50,7 +50,7 @@
 
 /// Steers callers to healthy backend servers: the operators' command line.
 ///
-/// Exit status: 0 done, 1 refused or failed, 2 not everywhere in force in time, 3 host unreachable.
+/// Exit status: 0 done, 1 refused or failed, 2 not in force on all hosts in time, 3 host unreachable.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum OperatorCommand {
@@ -83,7 +83,7 @@
     Apply {
         #[bpaf(external)]
         host_options: HostOptions,
-        /// Return only when every live entry host has it in force
+        /// Return only when it is in force on every live entry host
         wait: bool,
         /// How long to wait, in seconds
         #[bpaf(long, argument("SECONDS"), fallback(10))]
@@ -103,7 +103,7 @@
         #[bpaf(external)]
         host_options: HostOptions,
     },
-    /// Drain a server, hall or host: no new work, nothing cut
+    /// Drain a server, hall or host: no new requests, running ones finish
     ///
     /// Example: ledgespool drain --host 127.0.0.1:7002 server desk-perth-1
     #[bpaf(command)]
@@ -112,7 +112,7 @@
         host_options: HostOptions,
         /// Lift the drain
         undo: bool,
-        /// Return only when nothing runs on it any more
+        /// Return only when no request runs on it any more
         wait: bool,
         /// How long to wait, in seconds
         #[bpaf(long, argument("SECONDS"), fallback(600))]
@@ -124,7 +124,7 @@
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Shift a share of a region's callers to another region, by steps under the declared cap
+    /// Shift a share of a region's callers to another region, in steps below the declared cap
     ///
     /// Example: ledgespool shift --host 127.0.0.1:7002 --share 0.5 pipeline-desk perth bunbury
     #[bpaf(command)]
@@ -157,14 +157,14 @@
         #[bpaf(long, argument("N"), fallback(200))]
         last: usize,
     },
-    /// Ask an entry host as a caller does
+    /// Look up a service at an entry host, as a caller does
     ///
     /// Example: ledgespool lookup 127.0.0.1:7001 pipeline-desk
     #[bpaf(command)]
     Lookup {
         /// Print JSON
         json: bool,
-        /// The caller's address, where this one is a trusted forwarder
+        /// The caller's address, if this machine is a trusted forwarder
         #[bpaf(long, argument("IP"), optional)]
         from: Option<net::IpAddr>,
         /// Caller address of an entry host
@@ -181,11 +181,11 @@
     Explain {
         /// Print the tables of the documentation
         markdown: bool,
-        /// Such as LS2005 or EV4001; all of them without one
+        /// A code such as LS2005 or EV4001; all codes by default
         #[bpaf(positional("CODE"))]
         code: Option<String>,
     },
-    /// Tell the story of one request from the logs of entry hosts
+    /// Trace one request through the logs of entry hosts
     ///
     /// Example: ledgespool explain-request 9c41d07be2a35f68 entry-1.log entry-2.log
     #[bpaf(command("explain-request"))]
@@ -193,11 +193,11 @@
         /// The request's identity
         #[bpaf(positional("ID"))]
         id: String,
-        /// Log files of any hosts; standard input without one
+        /// Log files of any hosts; standard input by default
         #[bpaf(positional("FILE"), many)]
         files: Vec<path::PathBuf>,
     },
-    /// Tell where requests lost their worth, from the logs of entry hosts
+    /// Report late and failed requests and their causes, from the logs of entry hosts
     ///
     /// Example: ledgespool losses --plot losses.svg entry-*.log
     #[bpaf(command)]
@@ -207,11 +207,11 @@
         /// Draw the losses over time into this file
         #[bpaf(long, argument("FILE.svg"), optional)]
         plot: Option<path::PathBuf>,
-        /// Log files of any hosts; standard input without one
+        /// Log files of any hosts; standard input by default
         #[bpaf(positional("FILE"), many)]
         files: Vec<path::PathBuf>,
     },
-    /// Play decisions over many hosts in this process, without sockets and clocks
+    /// Simulate decisions over many hosts in this process, without sockets and clocks
     #[bpaf(command)]
     Experiment(#[bpaf(external(experiment_command))] ExperimentCommand),
     /// Print the schema of the operators' calls
@@ -219,7 +219,7 @@
     /// Example: ledgespool schema > schema/openrpc.json
     #[bpaf(command)]
     Schema,
-    /// Run the whole path in this process and send mixed requests
+    /// Run a complete system in this process and send mixed requests
     ///
     /// Example: ledgespool demo --requests 2000
     #[bpaf(command)]
--- a/src/bin/ledgespool/commands.rs
+++ b/src/bin/ledgespool/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands.
+//! Runs the commands.
 
 use std::{net, path, time};
 
@@ -18,8 +18,8 @@
 use crate::output;
 use crate::{experiment, hosts, logs};
 
-/// A call of one host must end within this time.
-pub const CALL_LIMIT: time::Duration = time::Duration::from_secs(8);
+/// Timeout of a call to one host.
+pub const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(8);
 
 /// Runs one command.
 pub async fn run(command: OperatorCommand) -> error::Result<()> {
@@ -140,7 +140,7 @@
     )
 }
 
-/// The operators' token: from the file that the options name, else from the environment.
+/// Returns the operator token from the file given in the options, or else from the environment.
 pub fn token(options: &HostOptions) -> error::Result<String> {
     let Some(file) = &options.token_file else {
         return Ok(std::env::var("LEDGESPOOL_TOKEN").unwrap_or_default());
@@ -154,20 +154,20 @@
     Ok(text.trim().to_owned())
 }
 
-/// A client of the host that the options name.
+/// Creates a client for the host given in the options.
 pub fn client(options: &HostOptions, limit: time::Duration) -> error::Result<ControlClient> {
     ControlClient::new(options.host, &token(options)?, limit)
 }
 
-async fn in_force(options: &HostOptions) -> error::Result<Option<ConfigObject>> {
-    Ok(client(options, CALL_LIMIT)?
+async fn active_declaration(options: &HostOptions) -> error::Result<Option<ConfigObject>> {
+    Ok(client(options, CALL_TIMEOUT)?
         .call(method::DECLARATION, &NoParams {})
         .await?)
 }
 
 async fn plan(options: &HostOptions, dir: &path::Path) -> error::Result<()> {
     let new = declaration::from_dir(dir)?;
-    let before = in_force(options).await?;
+    let before = active_declaration(options).await?;
     print_changes(before.as_ref(), &new, options.json);
     Ok(())
 }
@@ -176,7 +176,7 @@
     let empty = SteeringDeclaration::default();
     let old = before.map_or(&empty, |object| object.declaration.as_ref());
     let mut changes = declaration::list_changes(old, new);
-    // Drains and shifts in force are kept by `apply`, so their absence in files changes nothing.
+    // `apply` keeps the active drains and shifts, so their absence from the files is no change.
     changes.retain(|change| !change.is_kept_order());
     let generation = before.map_or(0, |object| object.generation);
     if json {
@@ -192,7 +192,7 @@
     }
 }
 
-fn new_operation() -> String {
+fn new_operation_id() -> String {
     format!("cli-{}-{}", timer::unix_millis(), std::process::id())
 }
 
@@ -203,34 +203,34 @@
     wait: Option<time::Duration>,
 ) -> error::Result<()> {
     let new = declaration::from_dir(dir)?;
-    let before = in_force(options).await?;
+    let before = active_declaration(options).await?;
     if !options.json {
         print_changes(before.as_ref(), &new, false);
     }
     let params = ChangeParams {
-        operation: operation.unwrap_or_else(new_operation),
+        operation: operation.unwrap_or_else(new_operation_id),
         expected_generation: Some(before.map_or(0, |object| object.generation)),
         change: ConfigChange::Replace(Box::new(new)),
     };
     let generation = submit(options, &params).await?;
     match wait {
-        Some(limit) => hosts::wait_in_force(options, generation, limit).await,
+        Some(limit) => hosts::wait_active(options, generation, limit).await,
         None => Ok(()),
     }
 }
 
 async fn send_change(options: &HostOptions, change: ConfigChange) -> error::Result<u64> {
     let params = ChangeParams {
-        operation: new_operation(),
+        operation: new_operation_id(),
         expected_generation: None,
         change,
     };
     submit(options, &params).await
 }
 
-/// Sends a change and prints what came of it; returns the generation that holds it.
+/// Sends a change, prints the result and returns the generation that contains the change.
 async fn submit(options: &HostOptions, params: &ChangeParams) -> error::Result<u64> {
-    let result: ChangeResult = client(options, CALL_LIMIT)?
+    let result: ChangeResult = client(options, CALL_TIMEOUT)?
         .call(method::CHANGE, params)
         .await?;
     if options.json {
@@ -255,12 +255,12 @@
 
 async fn show_timeline(options: &HostOptions, last: usize) -> error::Result<()> {
     let token = token(options)?;
-    let first: HostStatus = client(options, CALL_LIMIT)?
+    let first: HostStatus = client(options, CALL_TIMEOUT)?
         .call(method::STATUS, &NoParams {})
         .await?;
     let mut processes = Vec::new();
     for member in &first.members {
-        let client = ControlClient::new(member.control_address, &token, hosts::HOST_LIMIT)?;
+        let client = ControlClient::new(member.control_address, &token, hosts::STATUS_TIMEOUT)?;
         match client
             .call::<_, Vec<EventRecord>>(method::TIMELINE, &TimelineParams::default())
             .await
@@ -310,11 +310,11 @@
 }
 
 fn explain(code: Option<&str>) -> error::Result<()> {
-    let wanted = |shown: &str| code.is_none_or(|code| code.eq_ignore_ascii_case(shown));
+    let is_selected = |shown: &str| code.is_none_or(|code| code.eq_ignore_ascii_case(shown));
     let mut found = false;
     for code in ResultCode::ALL
         .iter()
-        .filter(|code| wanted(&code.to_string()))
+        .filter(|code| is_selected(&code.to_string()))
     {
         found = true;
         println!("{code}  {}\n        {}", code.text(), code.advice());
@@ -328,7 +328,7 @@
     }
     for event in EventCode::ALL
         .iter()
-        .filter(|event| wanted(&event.to_string()))
+        .filter(|event| is_selected(&event.to_string()))
     {
         found = true;
         println!("{event}  {}", event.text());
--- a/src/bin/ledgespool/experiment.rs
+++ b/src/bin/ledgespool/experiment.rs
@@ -1,4 +1,4 @@
-//! Commands that play decisions over many hosts.
+//! Runs simulations of decisions over many hosts.
 
 use ledgespool::error;
 use ledgespool::limit_experiment::report::{LimitReport, ReportTable};
@@ -8,12 +8,12 @@
 use crate::app::ExperimentCommand;
 use crate::output;
 
-/// Plays what the command names.
+/// Runs the experiment of the command.
 pub fn run(command: &ExperimentCommand) -> error::Result<()> {
     let ExperimentCommand::Limits {
         json,
         seed,
-        plot: picture,
+        plot: plot_file,
         file,
     } = command;
     let scenario = scenario::from_file(file)?;
@@ -27,7 +27,7 @@
     } else {
         print!("{}", ReportTable(&reports));
     }
-    picture
+    plot_file
         .as_ref()
         .map_or(Ok(()), |file| plot::write_svg(&reports, file))
 }
--- a/src/bin/ledgespool/hosts.rs
+++ b/src/bin/ledgespool/hosts.rs
@@ -1,4 +1,4 @@
-//! Asks all hosts for their state, and waits until it is as wanted.
+//! Queries the status of all hosts and waits until they reach a state.
 
 use std::time;
 
@@ -13,20 +13,20 @@
 use crate::commands;
 use crate::output::{self, HostLine};
 
-/// Each host must answer within this time; a host that does not counts as behind.
-pub const HOST_LIMIT: time::Duration = time::Duration::from_secs(2);
-/// The time between two looks at all hosts while waiting.
-const POLL: time::Duration = time::Duration::from_millis(200);
+/// Timeout of a status call. A host that exceeds it counts as lagging.
+pub const STATUS_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Time between two polls of all hosts while waiting.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Asks one host who the others are, then each of them for its state.
-async fn gather(options: &HostOptions) -> error::Result<Vec<HostLine>> {
+/// Reads the member list from one host and queries the status of each member.
+async fn query_hosts(options: &HostOptions) -> error::Result<Vec<HostLine>> {
     let token = commands::token(options)?;
-    let first: HostStatus = commands::client(options, commands::CALL_LIMIT)?
+    let first: HostStatus = commands::client(options, commands::CALL_TIMEOUT)?
         .call(method::STATUS, &NoParams {})
         .await?;
     let mut tasks = Vec::new();
     for member in &first.members {
-        let client = ControlClient::new(member.control_address, &token, HOST_LIMIT)?;
+        let client = ControlClient::new(member.control_address, &token, STATUS_TIMEOUT)?;
         let alive = member.state != HostState::Dead;
         tasks.push(tokio::spawn(async move {
             if !alive {
@@ -51,9 +51,9 @@
     Ok(lines)
 }
 
-/// Prints the state of every host.
+/// Prints the status of every host.
 pub async fn print_status(options: &HostOptions) -> error::Result<()> {
-    let lines = gather(options).await?;
+    let lines = query_hosts(options).await?;
     if options.json {
         output::print_json(&lines);
     } else {
@@ -62,27 +62,27 @@
     Ok(())
 }
 
-/// Hosts that are alive and do not have the generation in force.
-fn lagging(lines: &[HostLine], generation: u64) -> Vec<String> {
+/// Returns the names of live hosts on which the generation is not active.
+fn lagging_hosts(lines: &[HostLine], generation: u64) -> Vec<String> {
     let alive = lines.iter().filter(|line| line.state != HostState::Dead);
-    let behind = alive.filter(|line| {
+    let lagging = alive.filter(|line| {
         line.status
             .as_ref()
             .is_none_or(|status| status.in_force < generation)
     });
-    behind.map(|line| line.name.clone()).collect()
+    lagging.map(|line| line.name.clone()).collect()
 }
 
-/// Waits until every live host has a generation in force.
-pub async fn wait_in_force(
+/// Waits until a generation is active on every live host.
+pub async fn wait_active(
     options: &HostOptions,
     generation: u64,
     limit: time::Duration,
 ) -> error::Result<()> {
     let began = time::Instant::now();
     loop {
-        let behind = lagging(&gather(options).await?, generation);
-        if behind.is_empty() {
+        let lagging = lagging_hosts(&query_hosts(options).await?, generation);
+        if lagging.is_empty() {
             println!(
                 "in force on every live entry host after {} ms",
                 began.elapsed().as_millis()
@@ -90,13 +90,13 @@
             return Ok(());
         }
         if began.elapsed() >= limit {
-            return Err(Error::with_code(ResultCode::WaitExpired, behind.join(" ")));
+            return Err(Error::with_code(ResultCode::WaitExpired, lagging.join(" ")));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until every live host has a generation in force and nothing runs on what it drains.
+/// Waits until a generation is active on every live host and no request runs on what it drains.
 pub async fn wait_drained(
     options: &HostOptions,
     generation: u64,
@@ -104,21 +104,21 @@
 ) -> error::Result<()> {
     let began = time::Instant::now();
     loop {
-        let lines = gather(options).await?;
-        let behind = lagging(&lines, generation);
+        let lines = query_hosts(options).await?;
+        let lagging = lagging_hosts(&lines, generation);
         let statuses = lines.iter().filter_map(|line| line.status.as_ref());
         let draining: u32 = statuses.map(|status| status.draining).sum();
-        if behind.is_empty() && draining == 0 {
+        if lagging.is_empty() && draining == 0 {
             println!("drained after {} ms", began.elapsed().as_millis());
             return Ok(());
         }
         if began.elapsed() >= limit {
             let detail = format!(
                 "{draining} requests still run; behind: {}",
-                behind.join(" ")
+                lagging.join(" ")
             );
             return Err(Error::with_code(ResultCode::WaitExpired, detail));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/bin/ledgespool/logs.rs
+++ b/src/bin/ledgespool/logs.rs
@@ -11,18 +11,18 @@
 
 use crate::output;
 
-/// Prints the story of one request.
+/// Prints the trace of one request.
 pub fn explain_request(id: &str, files: &[path::PathBuf]) -> error::Result<()> {
     let logs = read_logs(files)?;
     println!("{}", RequestStory::from_lines(id, lines_of(&logs)));
     Ok(())
 }
 
-/// Prints where requests lost their worth, and draws it if a file is named.
+/// Prints the loss report, and draws a chart if a file is given.
 pub fn show_losses(
     files: &[path::PathBuf],
     json: bool,
-    picture: Option<&path::Path>,
+    plot_file: Option<&path::Path>,
 ) -> error::Result<()> {
     let logs = read_logs(files)?;
     let report = LossReport::from_lines(lines_of(&logs));
@@ -31,7 +31,7 @@
     } else {
         println!("{report}");
     }
-    picture.map_or(Ok(()), |file| plot::write_svg(&report, file))
+    plot_file.map_or(Ok(()), |file| plot::write_svg(&report, file))
 }
 
 fn lines_of(logs: &str) -> impl Iterator<Item = &str> {
--- a/src/bin/ledgespool/main.rs
+++ b/src/bin/ledgespool/main.rs
@@ -1,4 +1,4 @@
-//! `ledgespool`: the operators' command line. Thin: everything is in the library.
+//! `ledgespool` is the operators' command line. The library contains all logic.
 
 mod app;
 mod commands;
@@ -17,7 +17,7 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 const EXIT_FAILED: u8 = 1;
-const EXIT_LATE: u8 = 2;
+const EXIT_WAIT_EXPIRED: u8 = 2;
 const EXIT_UNREACHABLE: u8 = 3;
 
 fn main() -> process::ExitCode {
@@ -43,7 +43,7 @@
 
 fn exit_status(fault: &Error) -> u8 {
     match fault.code() {
-        ResultCode::WaitExpired => EXIT_LATE,
+        ResultCode::WaitExpired => EXIT_WAIT_EXPIRED,
         ResultCode::HostUnreachable => EXIT_UNREACHABLE,
         _ => EXIT_FAILED,
     }
--- a/src/bin/ledgespool/output.rs
+++ b/src/bin/ledgespool/output.rs
@@ -1,11 +1,11 @@
-//! What the command line prints, for people or as JSON.
+//! Formats the output of the command line, as text or JSON.
 
 use ledgespool::control_message::HostStatus;
 use ledgespool::error::Error;
 use ledgespool::member::HostState;
 use ledgespool::timeline::EventRecord;
 
-/// Prints an error with its advice; faults in files each with their line.
+/// Prints an error with its advice, or each problem in the input files with its line.
 pub fn print_error(fault: &Error) {
     match fault {
         Error::Rejected(input) => {
@@ -28,7 +28,7 @@
     );
 }
 
-/// One host's line in `status`: reached or not.
+/// One host in the output of `status`; `status` is `None` if it could not be reached.
 #[derive(Debug, serde::Serialize)]
 pub struct HostLine {
     pub name: String,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Prints events, one a line.
+/// Prints events, one per line.
 pub fn print_timeline(events: &[EventRecord]) {
     for event in events {
         println!(
--- a/src/bin/ledgespoold/main.rs
+++ b/src/bin/ledgespoold/main.rs
@@ -1,4 +1,4 @@
-//! `ledgespoold`: one entry host. Thin: everything is in the library.
+//! `ledgespoold` runs one entry host. The library contains all logic.
 
 mod app;
 
