--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -160,7 +160,7 @@
         requests: (rate * SECONDS) as u64,
         seed: SEED,
         from: Vec::new(),
-        come_back: true,
+        retry: true,
     };
     let (read, release) = (
         plan(vec![entry("read", false)]),
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -84,7 +84,7 @@
         headers: Vec::new(),
         callers: LOOKUP_CALLERS,
         threads: 3,
-        limit: Duration::from_secs(SECONDS),
+        duration: Duration::from_secs(SECONDS),
     };
     tokio::task::spawn_blocking(move || run(&plan))
         .await
@@ -116,7 +116,7 @@
         headers: Vec::new(),
         callers,
         threads: 2,
-        limit: Duration::from_secs(SECONDS),
+        duration: Duration::from_secs(SECONDS),
     }
 }
 
--- a/benches/steering.rs
+++ b/benches/steering.rs
@@ -221,7 +221,7 @@
         from: (0..60)
             .map(|block| IpAddr::V4(Ipv4Addr::new(10, 1 + block % 3, block, 7)))
             .collect(),
-        come_back: true,
+        retry: true,
     }
 }
 
--- a/src/bin/ledgespool-standin/main.rs
+++ b/src/bin/ledgespool-standin/main.rs
@@ -53,7 +53,7 @@
                 requests,
                 seed,
                 from,
-                come_back: true,
+                retry: true,
             };
             drive(&plan, json)?;
         }
@@ -70,14 +70,14 @@
                 .filter_map(|header| header.split_once('='))
                 .map(|(name, value)| (name.to_owned(), value.to_owned()))
                 .collect();
-            let limit = std::time::Duration::from_secs(seconds);
+            let duration = std::time::Duration::from_secs(seconds);
             let figures = repeat::run(&repeat::RepeatPlan {
                 to,
                 path,
                 headers,
                 callers,
                 threads,
-                limit,
+                duration,
             })?;
             println!("{}", serde_json::to_string(&figures).unwrap_or_default());
         }
--- a/src/bin/ledgespool/commands.rs
+++ b/src/bin/ledgespool/commands.rs
@@ -290,7 +290,7 @@
     from: Option<net::IpAddr>,
     json: bool,
 ) -> error::Result<()> {
-    let answer = caller::ask(entry, service, from).await;
+    let answer = caller::look_up_at(entry, service, from).await;
     let answer =
         answer.ok_or_else(|| Error::with_code(ResultCode::HostUnreachable, entry.to_string()))?;
     if json {
@@ -349,11 +349,11 @@
         requests,
         seed,
         from: fleet::demo_callers(),
-        come_back: true,
+        retry: true,
     };
     let (report, headroom) = tokio::join!(
         load::run(&plan),
-        fleet::least_headroom(&running, requests as f64 / rate)
+        fleet::min_headroom(&running, requests as f64 / rate)
     );
     let summary = fleet::DemoSummary {
         report,
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a backend server: it runs requests in slots, queues a few, sheds the rest, and
-//! keeps a log of what it ran.
+//! A stand-in for a backend server. It runs requests in slots, queues a few, sheds the others and
+//! logs the requests that it ran.
 //!
-//! `GET|POST /work?ms=M&bytes=N` occupies a slot for M milliseconds and answers N bytes that
-//! follow from the request id, so that a caller can tell its own whole answer from any other.
+//! `GET|POST /work?ms=M&bytes=N` occupies a slot for M milliseconds and answers N bytes that are
+//! derived from the request id, so that a caller can verify that the answer is its own and whole.
 
 use std::sync::atomic;
 use std::{net, pin, sync, task, time};
@@ -19,14 +19,14 @@
 use crate::{listener, timer};
 
 const MAX_CONNECTIONS: usize = 330;
-/// Requests that may wait for a slot, for each slot.
-const QUEUE_PER_SLOT: usize = 2;
+/// Maximum number of queued requests per slot.
+const MAX_QUEUED_PER_SLOT: usize = 2;
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The largest answer.
+/// Largest answer body.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 const REQUEST_HEADER: &str = "x-ledgespool-request-id";
 
-/// How the stand-in misbehaves.
+/// Faults that the stand-in injects.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "faults are independent and may come together"
@@ -38,39 +38,39 @@
     pub slow_ms: u64,
     /// Answers 500 at once, without running anything.
     pub failing: bool,
-    /// Says that it leaves.
+    /// Announces its shutdown.
     pub leaving: bool,
-    /// Cuts each answer in its middle.
+    /// Breaks off each answer after half of its body.
     pub truncate: bool,
     /// Answers with the id and content of another request.
     pub mix_up: bool,
     /// Sheds every request.
     pub shedding: bool,
-    /// Claims this load instead of its own; 0 tells the truth.
+    /// Reports this load minus one instead of the true load; 0 reports the true load.
     pub claim_load: u32,
     /// Runs requests and never answers.
     pub silent: bool,
-    /// Names no request id in its answers.
+    /// Omits the request id from its answers.
     pub anonymous: bool,
 }
 
 /// A request that was run.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RunRecord {
-    /// The id that it carried.
+    /// The request id.
     pub request_id: String,
-    /// When it began, in Unix milliseconds.
+    /// The start, in Unix milliseconds.
     pub began_unix_ms: u64,
-    /// Its query, which tells tests what it was for.
+    /// The query, by which tests identify the request.
     pub query: String,
 }
 
-/// What the stand-in has done so far.
+/// The log of the stand-in since its start.
 #[derive(Debug, Clone, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct BackendLog {
-    /// Requests run, in the order that they began.
+    /// Requests run, in the order in which they started.
     pub runs: Vec<RunRecord>,
-    /// The most that were there at once, running or waiting for a slot.
+    /// Maximum number of requests at once, running or waiting for a slot.
     pub peak: u32,
     /// Requests shed.
     pub shed: u32,
@@ -116,7 +116,7 @@
     listener::serve(listener, MAX_CONNECTIONS, stop, handler).await;
 }
 
-/// The content of the answer to a request: callers compute it too.
+/// Returns the expected body of the answer to a request; callers use it for verification.
 #[must_use]
 pub fn answer_bytes(request_id: &str, length: usize) -> Bytes {
     let mut bytes = vec![0_u8; length];
@@ -131,7 +131,7 @@
     response.map(|body| body.map_err(super::never).boxed_unsync())
 }
 
-/// Counts a request as present while it lives.
+/// Decrements the count of present requests when dropped.
 struct PresentGuard<'s>(&'s BackendState);
 
 impl Drop for PresentGuard<'_> {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Counts a request as running while it lives.
+/// Decrements the count of running requests when dropped.
 struct RunningGuard<'s>(&'s BackendState);
 
 impl Drop for RunningGuard<'_> {
@@ -192,7 +192,7 @@
         let faults = self.faults();
         let present = self.present.fetch_add(1, atomic::Ordering::AcqRel) + 1;
         let _present = PresentGuard(self);
-        self.note_present(present);
+        self.log_peak(present);
         if faults.failing {
             return self.head(
                 http::StatusCode::INTERNAL_SERVER_ERROR,
@@ -201,7 +201,7 @@
                 empty(),
             );
         }
-        if faults.shedding || present > self.slot_count * (1 + QUEUE_PER_SLOT) {
+        if faults.shedding || present > self.slot_count * (1 + MAX_QUEUED_PER_SLOT) {
             self.log().shed += 1;
             let mut response =
                 self.head(http::StatusCode::SERVICE_UNAVAILABLE, &id, &faults, empty());
@@ -218,7 +218,7 @@
                 empty(),
             );
         };
-        self.note_run(&id, &uri);
+        self.log_run(&id, &uri);
         let _running = RunningGuard(self);
         let work_ms = query_number(&uri, "ms").unwrap_or(0) + faults.slow_ms;
         if work_ms > 0 {
@@ -235,7 +235,7 @@
             .and_then(|status| http::StatusCode::from_u16(status).ok())
             .unwrap_or_default();
         let pace_ms = query_number(&uri, "pace_ms").unwrap_or(0);
-        self.whole_answer(
+        self.work_response(
             status,
             &id,
             usize::try_from(length).unwrap_or(0),
@@ -244,12 +244,12 @@
         )
     }
 
-    fn note_present(&self, present: usize) {
+    fn log_peak(&self, present: usize) {
         let mut log = self.log();
         log.peak = log.peak.max(u32::try_from(present).unwrap_or(u32::MAX));
     }
 
-    fn note_run(&self, id: &str, uri: &http::Uri) {
+    fn log_run(&self, id: &str, uri: &http::Uri) {
         self.running.fetch_add(1, atomic::Ordering::AcqRel);
         let mut log = self.log();
         log.runs.push(RunRecord {
@@ -259,7 +259,7 @@
         });
     }
 
-    fn whole_answer(
+    fn work_response(
         &self,
         status: http::StatusCode,
         id: &str,
@@ -273,13 +273,13 @@
             id.to_owned()
         };
         let bytes = answer_bytes(&id, length);
-        let shown = if faults.truncate {
+        let sent_bytes = if faults.truncate {
             bytes.slice(..length / 2)
         } else {
             bytes
         };
         let body = PacedBody {
-            left: shown,
+            left: sent_bytes,
             cut: faults.truncate,
             pace_ms,
             pause: None,
@@ -324,7 +324,7 @@
     Full::default().map_err(super::never).boxed_unsync()
 }
 
-/// A body in chunks, with a pause before each if asked for, and a break at its end if asked for.
+/// A body in chunks, optionally with a pause before each chunk and an error at its end.
 struct PacedBody {
     left: Bytes,
     cut: bool,
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -1,5 +1,5 @@
-//! A caller as the documentation tells callers to be: it looks up, keeps the answer for its time
-//! to live, sends, and checks that it got its own whole answer.
+//! A reference caller that follows the documentation: it looks up hosts, caches the answer for its
+//! time to live, sends requests, and verifies that each answer is its own and whole.
 
 use std::{collections, net, time};
 
@@ -11,11 +11,11 @@
 use crate::lookup::LookupAnswer;
 use crate::result_code::{RequestOutcome, ResultCode};
 
-const LOOKUP_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// Time past the deadline after which a caller gives up on an entry host.
-const PATIENCE: time::Duration = time::Duration::from_millis(500);
+const LOOKUP_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// Time after the deadline at which a caller gives up on an entry host.
+const DEADLINE_GRACE: time::Duration = time::Duration::from_millis(500);
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A request to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,60 +24,60 @@
     pub service: String,
     /// The class.
     pub class: String,
-    /// Unique id.
+    /// Unique request id.
     pub id: String,
     /// Time until the deadline.
     pub deadline: time::Duration,
     /// How long the stand-in server works on it, in milliseconds.
     pub work_ms: u64,
-    /// Bytes of its answer.
+    /// Size of the answer, in bytes.
     pub answer_bytes: usize,
-    /// The claim key of one that may not be repeated.
+    /// The claim key, for a request that must not be run twice.
     pub claim_key: Option<String>,
-    /// The address that a trusted forwarder names.
+    /// The caller's address as a trusted forwarder states it.
     pub from: Option<net::IpAddr>,
-    /// More of the query, such as `&pace_ms=20`.
+    /// Additional query parameters, such as `&pace_ms=20`.
     pub extra_query: String,
 }
 
-/// What a caller got.
+/// The result of a request, as the caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerResult {
-    /// What the entry host proved; `None` when the caller heard nothing usable from it.
+    /// The outcome that the entry host reported; `None` if it sent no usable answer.
     pub outcome: Option<RequestOutcome>,
-    /// The numbered code, if one came.
+    /// The result code, if the answer has one.
     pub code: Option<ResultCode>,
-    /// The HTTP status, if one came.
+    /// The HTTP status, if there was an answer.
     pub status: Option<u16>,
-    /// Whether the answer is the caller's own and whole.
+    /// Whether the answer belongs to this request and is complete.
     pub whole: bool,
-    /// When to come back, in milliseconds.
+    /// Time to wait before a retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// From sending to the last byte.
+    /// Time from sending to the last byte.
     pub latency: time::Duration,
-    /// Whether the host asks for a new look-up.
+    /// Whether the host requests a new look-up.
     pub look_up_again: bool,
     /// The hall that answered.
     pub hall: Option<String>,
 }
 
-/// A caller with its kept look-ups and connections.
+/// A caller with its cached look-ups and idle connections.
 #[derive(Debug, Default)]
 pub struct CallerClient {
     entries: Vec<net::SocketAddr>,
-    lookups: collections::HashMap<(String, Option<net::IpAddr>), KeptLookup>,
+    lookups: collections::HashMap<(String, Option<net::IpAddr>), CachedLookup>,
     idle: collections::HashMap<net::SocketAddr, Vec<ClientSender>>,
-    turn: usize,
+    next_entry: usize,
 }
 
 #[derive(Debug, Clone)]
-struct KeptLookup {
+struct CachedLookup {
     answer: LookupAnswer,
-    until: time::Instant,
+    expires_at: time::Instant,
 }
 
 impl CallerClient {
-    /// A caller that knows these entry hosts to ask first.
+    /// Creates a caller that sends its look-ups to these entry hosts.
     #[must_use]
     pub fn with_entries(entries: Vec<net::SocketAddr>) -> Self {
         Self {
@@ -86,28 +86,28 @@
         }
     }
 
-    /// The entry hosts to use, from memory while the answer may be kept.
+    /// Returns the entry hosts to use, from the cache until the answer expires.
     pub async fn look_up(
         &mut self,
         service: &str,
         from: Option<net::IpAddr>,
     ) -> Option<LookupAnswer> {
         let key = (service.to_owned(), from);
-        if let Some(kept) = self.lookups.get(&key)
-            && time::Instant::now() < kept.until
+        if let Some(cached) = self.lookups.get(&key)
+            && time::Instant::now() < cached.expires_at
         {
-            return Some(kept.answer.clone());
+            return Some(cached.answer.clone());
         }
         for _ in 0..self.entries.len() {
-            self.turn += 1;
-            let entry = *self.entries.get(self.turn % self.entries.len())?;
-            if let Some(answer) = ask(entry, service, from).await {
-                let until = time::Instant::now() + time::Duration::from_millis(answer.ttl_ms);
+            self.next_entry += 1;
+            let entry = *self.entries.get(self.next_entry % self.entries.len())?;
+            if let Some(answer) = look_up_at(entry, service, from).await {
+                let expires_at = time::Instant::now() + time::Duration::from_millis(answer.ttl_ms);
                 self.lookups.insert(
                     key,
-                    KeptLookup {
+                    CachedLookup {
                         answer: answer.clone(),
-                        until,
+                        expires_at,
                     },
                 );
                 return Some(answer);
@@ -116,28 +116,28 @@
         None
     }
 
-    /// Forgets what was looked up, as a host asked for.
-    pub fn forget(&mut self) {
+    /// Clears the cached look-ups, as after a host's request for a new look-up.
+    pub fn clear_lookups(&mut self) {
         self.lookups.clear();
     }
 
-    /// Looks up and sends to the best host.
+    /// Looks up the service and sends to the first host of the answer.
     pub async fn send(&mut self, request: &CallerRequest) -> CallerResult {
         let began = time::Instant::now();
         let Some(answer) = self.look_up(&request.service, request.from).await else {
-            return nothing(began);
+            return no_answer(began);
         };
         let Some(host) = answer.hosts.first() else {
-            return nothing(began);
+            return no_answer(began);
         };
         let result = self.send_to(host.address, request).await;
         if result.look_up_again || result.outcome.is_none() {
-            self.forget();
+            self.clear_lookups();
         }
         result
     }
 
-    /// Sends to a given host.
+    /// Sends to the given host.
     pub async fn send_to(
         &mut self,
         host: net::SocketAddr,
@@ -154,17 +154,17 @@
         }
         let result = exchange(host, request, sender).await;
         let Some((answer, sender)) = result else {
-            return nothing(began);
+            return no_answer(began);
         };
         let idle = self.idle.entry(host).or_default();
-        if idle.len() < MAX_IDLE && !sender.is_closed() {
+        if idle.len() < MAX_IDLE_CONNECTIONS && !sender.is_closed() {
             idle.push(sender);
         }
         read_result(request, &answer, began)
     }
 }
 
-fn nothing(began: time::Instant) -> CallerResult {
+fn no_answer(began: time::Instant) -> CallerResult {
     CallerResult {
         outcome: None,
         code: None,
@@ -177,8 +177,8 @@
     }
 }
 
-/// Asks one entry host.
-pub async fn ask(
+/// Looks up a service at one entry host.
+pub async fn look_up_at(
     entry: net::SocketAddr,
     service: &str,
     from: Option<net::IpAddr>,
@@ -189,7 +189,7 @@
         builder = builder.header("x-ledgespool-caller", from.to_string());
     }
     let request = builder.body(Full::default()).ok()?;
-    let answer = http_client::exchange(entry, request, LOOKUP_LIMIT, 1 << 16)
+    let answer = http_client::exchange(entry, request, LOOKUP_TIMEOUT, 1 << 16)
         .await
         .ok()?;
     (answer.status == http::StatusCode::OK)
@@ -202,12 +202,12 @@
     request: &CallerRequest,
     sender: Option<ClientSender>,
 ) -> Option<(SmallAnswer, ClientSender)> {
-    let limit = request.deadline + PATIENCE;
+    let limit = request.deadline + DEADLINE_GRACE;
     let mut sender = match sender {
         Some(sender) => sender,
-        None => http_client::connect(host, LOOKUP_LIMIT).await.ok()?,
+        None => http_client::connect(host, LOOKUP_TIMEOUT).await.ok()?,
     };
-    let outgoing = outgoing(request)?;
+    let outgoing = http_request(request)?;
     let answer = http_client::read_answer(&mut sender, outgoing, MAX_ANSWER_BYTES);
     let answer = tokio::time::timeout(limit.max(time::Duration::from_mins(1)), answer)
         .await
@@ -216,7 +216,7 @@
     Some((answer, sender))
 }
 
-fn outgoing(request: &CallerRequest) -> Option<http::Request<Full<Bytes>>> {
+fn http_request(request: &CallerRequest) -> Option<http::Request<Full<Bytes>>> {
     let uri = format!(
         "/call/{}/work?ms={}&bytes={}{}",
         request.service, request.work_ms, request.answer_bytes, request.extra_query
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -1,4 +1,4 @@
-//! A small whole system in one process, on threads and loopback: for the demonstration.
+//! The demonstration: a small complete system in one process, on threads and loopback addresses.
 
 use std::{collections, fmt, net, thread, time};
 
@@ -24,10 +24,10 @@
 const REGIONS: [&str; 2] = ["perth", "bunbury"];
 const SERVERS_PER_HALL: usize = 2;
 const SLOTS: u32 = 9;
-const READY_LIMIT: time::Duration = time::Duration::from_secs(20);
-const CALL_LIMIT: time::Duration = time::Duration::from_secs(8);
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(8);
 
-/// The running demonstration.
+/// A running demonstration.
 #[derive(Debug)]
 pub struct DemoFleet {
     platform: RunningStandin,
@@ -40,10 +40,10 @@
 
 impl DemoFleet {
     /// Starts a platform, two halls of backend servers and `hosts` entry hosts, and waits until
-    /// every host has the declaration and grants in force.
+    /// the declaration and grants are active on every host.
     ///
     /// # Errors
-    /// When something can't be started or isn't ready in time.
+    /// When a part cannot be started or is not ready in time.
     pub async fn start(hosts: usize) -> error::Result<Self> {
         let platform = platform::start(ANY_PORT)?;
         let mut backends = Vec::new();
@@ -102,14 +102,14 @@
             .hosts
             .first()
             .ok_or_else(|| not_ready("no entry host"))?;
-        let client = ControlClient::new(first.control_address(), TOKEN, CALL_LIMIT)?;
+        let client = ControlClient::new(first.control_address(), TOKEN, CALL_TIMEOUT)?;
         let _result: ChangeResult = client.call(method::CHANGE, &params).await?;
         Ok(())
     }
 
-    /// Every host has a grant in each hall of its region, and knows all others.
+    /// Waits until every host has an active declaration, a grant and a complete member list.
     async fn wait_ready(&self) -> error::Result<()> {
-        let deadline = time::Instant::now() + READY_LIMIT;
+        let deadline = time::Instant::now() + READY_TIMEOUT;
         while time::Instant::now() < deadline {
             let statuses = self.statuses().await;
             let ready = |status: &HostStatus| status.in_force > 0 && !status.places.is_empty();
@@ -125,11 +125,11 @@
         Err(not_ready("the demonstration's hosts"))
     }
 
-    /// The state of every host that answers.
+    /// Returns the status of every host that answers.
     pub async fn statuses(&self) -> Vec<HostStatus> {
         let mut statuses = Vec::new();
         for host in &self.hosts {
-            if let Ok(client) = ControlClient::new(host.control_address(), TOKEN, CALL_LIMIT)
+            if let Ok(client) = ControlClient::new(host.control_address(), TOKEN, CALL_TIMEOUT)
                 && let Ok(status) = client
                     .call::<_, HostStatus>(method::STATUS, &NoParams {})
                     .await
@@ -140,7 +140,7 @@
         statuses
     }
 
-    /// Where callers ask.
+    /// Returns the caller addresses of the entry hosts.
     #[must_use]
     pub fn entries(&self) -> Vec<net::SocketAddr> {
         self.hosts.iter().map(RunningHost::caller_address).collect()
@@ -161,12 +161,12 @@
     }
 }
 
-/// The outcome of the demonstration.
+/// The result of the demonstration.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct DemoSummary {
-    /// The load's figures.
+    /// The load report.
     pub report: LoadReport,
-    /// The least units left in each place, summed over hosts, while the load ran.
+    /// Minimum unused units in each place, summed over hosts, while the load ran.
     pub least_headroom: collections::BTreeMap<String, u32>,
 }
 
@@ -181,11 +181,11 @@
     }
 }
 
-/// Watches the headroom of each hall for a time.
-pub async fn least_headroom(fleet: &DemoFleet, seconds: f64) -> collections::BTreeMap<String, u32> {
-    const SAMPLE: time::Duration = time::Duration::from_millis(100);
+/// Samples the headroom of each hall for a time and returns the minimum.
+pub async fn min_headroom(fleet: &DemoFleet, seconds: f64) -> collections::BTreeMap<String, u32> {
+    const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(100);
     let end = time::Instant::now() + time::Duration::from_secs_f64(seconds.max(0.2));
-    let mut least: collections::BTreeMap<String, u32> = collections::BTreeMap::new();
+    let mut minimum: collections::BTreeMap<String, u32> = collections::BTreeMap::new();
     while time::Instant::now() < end {
         let mut sums: collections::BTreeMap<String, u32> = collections::BTreeMap::new();
         for place in fleet
@@ -199,23 +199,23 @@
             }
         }
         for (place, units) in sums {
-            let entry = least.entry(place).or_insert(units);
+            let entry = minimum.entry(place).or_insert(units);
             *entry = units.min(*entry);
         }
-        tokio::time::sleep(SAMPLE).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
-    least
+    minimum
 }
 
-fn not_ready(what: &str) -> Error {
-    Error::with_code(ResultCode::WaitExpired, what.to_owned())
+fn not_ready(subject: &str) -> Error {
+    Error::with_code(ResultCode::WaitExpired, subject.to_owned())
 }
 
 fn hall_name(region: &str) -> String {
     format!("{region}-1")
 }
 
-/// Addresses of callers in both regions' blocks, for the load.
+/// Returns caller addresses in the blocks of both regions, for the load.
 #[must_use]
 pub fn demo_callers() -> Vec<net::IpAddr> {
     let address = |region: u8, block: u8| net::IpAddr::V4(net::Ipv4Addr::new(10, region, block, 7));
@@ -224,7 +224,7 @@
         .collect()
 }
 
-/// The mix of the demonstration's load.
+/// Returns the request mix of the demonstration's load.
 #[must_use]
 pub fn demo_mix() -> Vec<MixEntry> {
     let entry = |class: &str, weight, parts, work_ms, answer_bytes, claimed| MixEntry {
--- a/src/standin/load.rs
+++ b/src/standin/load.rs
@@ -1,7 +1,7 @@
-//! An open-loop load: arrivals follow the seed and the clock, never the answers.
+//! An open-loop load generator: arrivals depend on the seed and the clock, not on the answers.
 //!
-//! Latency counts from the planned arrival, come-backs included, so that a slow system can't hide
-//! behind requests that were not sent (no coordinated omission).
+//! Latency is measured from the planned arrival and includes retries. So a slow system does not
+//! look faster by delaying later requests (coordinated omission).
 
 use std::{cell, collections, fmt, net, rc, time};
 
@@ -26,11 +26,11 @@
     pub class: String,
     /// Its weight in goodput.
     pub weight: u32,
-    /// Its share of all requests, in parts.
+    /// Its relative frequency among all requests.
     pub parts: u32,
-    /// Mean time that a server works on it, in milliseconds.
+    /// Mean work time on a server, in milliseconds.
     pub work_ms: u64,
-    /// Bytes of its answer.
+    /// Size of the answer, in bytes.
     pub answer_bytes: usize,
     /// Its deadline in milliseconds.
     pub deadline_ms: u64,
@@ -38,23 +38,23 @@
     pub claimed: bool,
 }
 
-/// A load to drive.
+/// The load to generate.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadPlan {
-    /// Entry hosts to ask first.
+    /// Entry hosts that callers send look-ups to.
     pub entries: Vec<net::SocketAddr>,
     /// The mix.
     pub mix: Vec<MixEntry>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How many requests.
+    /// Total number of requests.
     pub requests: u64,
     /// Seed of arrivals, mix and work.
     pub seed: u64,
-    /// Addresses that callers have, for trusted forwarders; empty for their own.
+    /// Caller addresses to state as a trusted forwarder; if empty, none is stated.
     pub from: Vec<net::IpAddr>,
-    /// Whether refused callers come back as they were told, until their deadline.
-    pub come_back: bool,
+    /// Whether refused callers retry after the advised time, until their deadline.
+    pub retry: bool,
 }
 
 /// The figures of one class.
@@ -64,19 +64,19 @@
     pub class: String,
     /// Weight of one request.
     pub weight: u32,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Answered whole and in time.
+    /// Answered correctly and in time.
     pub in_time: u64,
-    /// Answered whole, but late.
+    /// Answered correctly, but late.
     pub late: u64,
     /// Refused as not run.
     pub not_run: u64,
     /// Ended with an unknown outcome.
     pub unknown: u64,
-    /// Heard nothing usable.
+    /// Without a usable answer.
     pub no_answer: u64,
-    /// Said to be answered, but the content was not the caller's own and whole.
+    /// Reported as answered, but the body was incomplete or belonged to another request.
     pub wrong: u64,
     /// Answers with a server's error status.
     pub server_errors: u64,
@@ -93,7 +93,7 @@
 pub struct LoadReport {
     /// The seed.
     pub seed: u64,
-    /// Requests a second planned.
+    /// Planned requests per second.
     pub rate: f64,
     /// Seconds from the first arrival to the last answer.
     pub seconds: f64,
@@ -103,18 +103,18 @@
     pub classes: Vec<ClassFigures>,
     /// Answers by hall.
     pub halls: collections::BTreeMap<String, u64>,
-    /// Codes that callers got, come-backs included.
+    /// Result codes that callers received, retries included.
     pub codes: collections::BTreeMap<String, u64>,
 }
 
 impl LoadReport {
-    /// Requests of all classes that were answered with other than their own whole answer.
+    /// Returns the number of requests whose answer was incomplete or another request's.
     #[must_use]
     pub fn wrong(&self) -> u64 {
         self.classes.iter().map(|class| class.wrong).sum()
     }
 
-    /// Requests of all classes that were not answered whole.
+    /// Returns the number of requests without a correct answer.
     #[must_use]
     pub fn unanswered(&self) -> u64 {
         let answered = |class: &ClassFigures| class.in_time + class.late;
@@ -174,7 +174,7 @@
     classes: Vec<ClassCounter>,
     halls: collections::BTreeMap<String, u64>,
     codes: collections::BTreeMap<String, u64>,
-    /// Idle callers by the address that they have.
+    /// Idle callers by their address.
     callers: collections::HashMap<Option<net::IpAddr>, Vec<CallerClient>>,
 }
 
@@ -184,7 +184,7 @@
     request: CallerRequest,
 }
 
-/// Drives a load to its end on the present thread.
+/// Generates the load on the current thread and returns when all requests have ended.
 pub async fn run(plan: &LoadPlan) -> LoadReport {
     let state = rc::Rc::new(cell::RefCell::new(LoadState {
         classes: plan.mix.iter().map(new_counter).collect(),
@@ -217,9 +217,9 @@
         tokio::time::sleep_until(at).await;
         let state = rc::Rc::clone(&state);
         let entries = plan.entries.clone();
-        let come_back = plan.come_back;
+        let retry = plan.retry;
         tokio::task::spawn_local(async move {
-            serve_arrival(&state, entries, arrival, come_back).await;
+            serve_arrival(&state, entries, arrival, retry).await;
         });
     }
 }
@@ -232,14 +232,14 @@
     at: tokio::time::Instant,
 ) -> Arrival {
     let total: u32 = plan.mix.iter().map(|entry| entry.parts).sum();
-    let mut draw = random.random_range(0..total.max(1));
+    let mut sample = random.random_range(0..total.max(1));
     let mut class = 0;
     for (index, entry) in plan.mix.iter().enumerate() {
         class = index;
-        if draw < entry.parts {
+        if sample < entry.parts {
             break;
         }
-        draw -= entry.parts;
+        sample -= entry.parts;
     }
     let entry = &plan.mix[class];
     let from = (!plan.from.is_empty()).then(|| plan.from[random.random_range(0..plan.from.len())]);
@@ -264,7 +264,7 @@
     state: &cell::RefCell<LoadState>,
     entries: Vec<net::SocketAddr>,
     arrival: Arrival,
-    come_back: bool,
+    retry: bool,
 ) {
     let from = arrival.request.from;
     let taken = state.borrow_mut().callers.entry(from).or_default().pop();
@@ -277,27 +277,27 @@
         request.id = format!("{}-{attempt}", request.id);
         request.deadline = deadline.saturating_duration_since(tokio::time::Instant::now());
         let result = caller.send(&request).await;
-        note_code(state, &result);
+        count_code(state, &result);
         let wait = result.retry_after_ms.map(time::Duration::from_millis);
-        let may_return = come_back && result.outcome == Some(RequestOutcome::NotRun);
-        match wait.filter(|wait| may_return && tokio::time::Instant::now() + *wait < deadline) {
+        let may_retry = retry && result.outcome == Some(RequestOutcome::NotRun);
+        match wait.filter(|wait| may_retry && tokio::time::Instant::now() + *wait < deadline) {
             Some(wait) => tokio::time::sleep(wait).await,
             None => break result,
         }
     };
     let mut state = state.borrow_mut();
     state.callers.entry(from).or_default().push(caller);
-    note_result(&mut state, &arrival, &result);
+    count_result(&mut state, &arrival, &result);
 }
 
-fn note_code(state: &cell::RefCell<LoadState>, result: &CallerResult) {
+fn count_code(state: &cell::RefCell<LoadState>, result: &CallerResult) {
     let code = result
         .code
         .map_or_else(|| "none".to_owned(), |code| code.to_string());
     *state.borrow_mut().codes.entry(code).or_default() += 1;
 }
 
-fn note_result(state: &mut LoadState, arrival: &Arrival, result: &CallerResult) {
+fn count_result(state: &mut LoadState, arrival: &Arrival, result: &CallerResult) {
     let latency = arrival.at.elapsed();
     if let Some(hall) = &result.hall {
         *state.halls.entry(hall.clone()).or_default() += 1;
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,7 +1,7 @@
-//! The project's own stand-ins for what it meets in the world, and a load that drives it.
+//! Stand-ins for the systems around ledgespool, and load generators.
 //!
-//! They exist for tests, benches and the demonstration. They are small, speak the published
-//! protocols and can be told to misbehave.
+//! They are used by tests, benches and the demonstration. They are small, implement the published
+//! protocols and can inject faults.
 
 pub mod backend;
 pub mod caller;
@@ -19,7 +19,7 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-/// The largest body that a stand-in reads.
+/// Largest request body that a stand-in reads.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
 type SmallBody = Full<Bytes>;
@@ -33,7 +33,7 @@
 }
 
 impl RunningStandin {
-    /// Where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub const fn address(&self) -> net::SocketAddr {
         self.address
@@ -41,7 +41,7 @@
 
     /// Stops it and waits for its thread.
     pub fn stop(self) {
-        // A stand-in that ended by itself has no receiver left.
+        // Sending fails if the stand-in has already stopped: then no receiver is left.
         let _gone = self.stop.send(true);
         let _outcome = self.thread.join();
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Runs `serve` on a thread of its own with a bound listener.
+/// Binds a listener and runs `serve` on a new thread.
 fn spawn<F, S>(name: &str, address: net::SocketAddr, serve: S) -> std::io::Result<RunningStandin>
 where
     S: FnOnce(tokio::net::TcpListener, watch::Receiver<bool>) -> F + Send + 'static,
@@ -122,7 +122,7 @@
         .ok()
 }
 
-/// A body error that can't happen.
+/// Converts the error of a body that cannot fail.
 const fn never(never: Infallible) -> std::io::Error {
     match never {}
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform: versioned objects with conditional updates and watches, and a
-//! list of hosts that lags. It keeps everything in memory.
+//! host list that may lag. All data is in memory.
 //!
-//! `PUT /admin/faults` makes it misbehave, `GET /admin/calls` counts its calls.
+//! `PUT /admin/faults` sets the faults to inject, `GET /admin/calls` returns the call counts.
 
 use std::{collections, net, sync, time};
 
@@ -17,9 +17,9 @@
 use crate::roster::{HostList, ListedHost};
 
 const MAX_CONNECTIONS: usize = 4_096;
-const MAX_WAIT_MS: u64 = 30_000;
+const MAX_WATCH_MS: u64 = 30_000;
 
-/// How the stand-in misbehaves.
+/// Faults that the stand-in injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
@@ -27,18 +27,18 @@
     pub down: bool,
     /// Every call takes this much longer, in milliseconds.
     pub slow_ms: u64,
-    /// So many further writes take effect and are never answered.
+    /// Number of further writes that take effect but get no answer.
     pub lose_write_answers: u32,
-    /// The list of hosts shows the state of so many milliseconds ago.
+    /// Age of the returned host list, in milliseconds.
     pub hosts_lag_ms: u64,
 }
 
-/// Calls counted since the start; a waiting watch counts as one.
+/// Call counts since the start. A waiting watch counts as one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct PlatformCalls {
     /// Reads of objects.
     pub reads: u64,
-    /// Writes of objects, refused ones too.
+    /// Writes of objects, including refused ones.
     pub writes: u64,
     /// Watches.
     pub watches: u64,
@@ -128,7 +128,7 @@
                 let after = query_number(request.uri(), "after").unwrap_or(0);
                 let wait_ms = query_number(request.uri(), "wait_ms")
                     .unwrap_or(0)
-                    .min(MAX_WAIT_MS);
+                    .min(MAX_WATCH_MS);
                 self.watch(kind, after, wait_ms).await
             }
             ("GET", ["v1", "hosts"]) => self.hosts(),
@@ -142,7 +142,7 @@
         let Some(object) = data.objects.get(&(kind.to_owned(), name.to_owned())) else {
             return empty_response(http::StatusCode::NOT_FOUND);
         };
-        tagged(
+        with_version_tag(
             http::Response::new(Full::new(object.bytes.clone())),
             object.version,
         )
@@ -166,7 +166,7 @@
             data.calls.writes += 1;
             let key = (kind.to_owned(), name.to_owned());
             let current = data.objects.get(&key).map(|object| object.version);
-            if !is_expected(headers, current) {
+            if !precondition_holds(headers, current) {
                 return empty_response(http::StatusCode::PRECONDITION_FAILED);
             }
             data.revision += 1;
@@ -174,7 +174,10 @@
             data.objects.insert(key, StoredObject { version, bytes });
             let lost = data.faults.lose_write_answers > 0;
             data.faults.lose_write_answers = data.faults.lose_write_answers.saturating_sub(1);
-            (tagged(empty_response(http::StatusCode::OK), version), lost)
+            (
+                with_version_tag(empty_response(http::StatusCode::OK), version),
+                lost,
+            )
         };
         self.changed.notify_waiters();
         if lost {
@@ -193,7 +196,7 @@
             if !reply.objects.is_empty() || late {
                 return json_response(&reply);
             }
-            // A wait that runs out ends in an empty reply.
+            // After the timeout, the next round returns an empty reply.
             let _elapsed = tokio::time::timeout_at(deadline, changed).await;
             if self.data().faults.down {
                 return empty_response(http::StatusCode::SERVICE_UNAVAILABLE);
@@ -229,12 +232,14 @@
         data.calls.hosts += 1;
         let lag = time::Duration::from_millis(data.faults.hosts_lag_ms);
         let visible = self.start.elapsed().saturating_sub(lag);
-        let shown = data
+        let visible_list = data
             .host_lists
             .iter()
             .rev()
             .find(|(since, _)| *since <= visible);
-        let list = shown.map(|(_, list)| list.clone()).unwrap_or_default();
+        let list = visible_list
+            .map(|(_, list)| list.clone())
+            .unwrap_or_default();
         json_response(&list)
     }
 
@@ -278,15 +283,19 @@
     }
 }
 
-fn tagged(mut response: http::Response<SmallBody>, version: u64) -> http::Response<SmallBody> {
+fn with_version_tag(
+    mut response: http::Response<SmallBody>,
+    version: u64,
+) -> http::Response<SmallBody> {
     if let Ok(tag) = http::HeaderValue::from_str(&format!("\"{version}\"")) {
         response.headers_mut().insert(http::header::ETAG, tag);
     }
     response
 }
 
-/// The precondition of a write: without one it is refused, so that nothing is overwritten blindly.
-fn is_expected(headers: &http::HeaderMap, current: Option<u64>) -> bool {
+/// Returns whether the precondition of a write holds. A write without a precondition is refused,
+/// so that no client overwrites an object that it has not read.
+fn precondition_holds(headers: &http::HeaderMap, current: Option<u64>) -> bool {
     if headers
         .get(http::header::IF_NONE_MATCH)
         .is_some_and(|value| value == "*")
--- a/src/standin/proxy.rs
+++ b/src/standin/proxy.rs
@@ -1,7 +1,8 @@
-//! A fault-injecting proxy for TCP: it passes, delays, freezes, cuts, or loses answers.
+//! A fault-injecting TCP proxy: it forwards, delays or freezes traffic, cuts connections, or drops
+//! answers.
 //!
-//! `PUT /` on its admin address with a [`ProxyMode`] as JSON changes what it does from then on,
-//! open connections included.
+//! `PUT /` on its admin address with a [`ProxyMode`] as JSON sets the mode, also for open
+//! connections.
 
 use std::{net, time};
 
@@ -15,22 +16,22 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 const MAX_ADMIN_CONNECTIONS: usize = 64;
-const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(2);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// What the proxy does.
+/// How the proxy treats traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProxyMode {
-    /// Everything passes.
+    /// All traffic is forwarded.
     #[default]
     Pass,
-    /// Every chunk is held back so many milliseconds, in each direction.
+    /// Each chunk is delayed by this time in milliseconds, in both directions.
     Delay(u64),
-    /// Connections stay open and nothing passes.
+    /// Connections stay open, but no data is forwarded.
     Freeze,
-    /// Connections are closed, and new ones at once.
+    /// Open connections are closed, and new ones are closed immediately.
     Cut,
-    /// Requests pass, answers are thrown away.
+    /// Requests are forwarded, answers are dropped.
     LoseAnswers,
 }
 
@@ -98,12 +99,12 @@
             continue;
         }
         let mode = mode.clone();
-        tokio::spawn(async move { pass(client, to, mode).await });
+        tokio::spawn(async move { forward(client, to, mode).await });
     }
 }
 
-async fn pass(client: TcpStream, to: net::SocketAddr, mode: watch::Receiver<ProxyMode>) {
-    let Ok(Ok(server)) = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(to)).await else {
+async fn forward(client: TcpStream, to: net::SocketAddr, mode: watch::Receiver<ProxyMode>) {
+    let Ok(Ok(server)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await else {
         return;
     };
     if client.set_nodelay(true).is_err() || server.set_nodelay(true).is_err() {
@@ -137,7 +138,7 @@
             return;
         };
         if length == 0 {
-            // The other side learns of the end by the close.
+            // Propagates the end of the stream to the other side.
             let _outcome = to.shutdown().await;
             return;
         }
--- a/src/standin/repeat.rs
+++ b/src/standin/repeat.rs
@@ -1,5 +1,5 @@
-//! A closed loop: callers that keep their connections and send the same request one after the
-//! other. It measures what a listener can take, not what open callers would see.
+//! A closed-loop load generator: callers keep their connections and send the same request one after
+//! the other. It measures the maximum throughput of a listener, not the latency under an open load.
 
 use std::{net, thread, time};
 
@@ -11,40 +11,40 @@
 
 const MAX_MICROS: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-const OPEN_LIMIT: time::Duration = time::Duration::from_secs(2);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What to send.
+/// The requests to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RepeatPlan {
-    /// Where to.
+    /// Address to send to.
     pub to: net::SocketAddr,
     /// Path and query.
     pub path: String,
     /// Header names and values.
     pub headers: Vec<(String, String)>,
-    /// Connections, spread evenly over the threads.
+    /// Number of connections, spread evenly over the threads.
     pub callers: usize,
-    /// Threads that drive them.
+    /// Number of threads.
     pub threads: usize,
-    /// For how long.
-    pub limit: time::Duration,
+    /// Duration of the load.
+    pub duration: time::Duration,
 }
 
-/// What was measured.
+/// The measured figures.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RepeatFigures {
-    /// Connections.
+    /// Number of connections.
     pub callers: usize,
-    /// Requests answered 200.
+    /// Requests answered with status 200.
     pub answered: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests answered a second.
+    /// Requests answered per second.
     pub per_second: f64,
     /// Median latency in microseconds.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latency in microseconds.
     pub p99_us: u64,
 }
 
@@ -55,10 +55,10 @@
     micros: Vec<u32>,
 }
 
-/// Runs the loop to its end.
+/// Generates the load for its duration and returns the figures.
 ///
 /// # Errors
-/// When a thread or its runtime cannot be made.
+/// When a runtime cannot be created.
 pub fn run(plan: &RepeatPlan) -> std::io::Result<RepeatFigures> {
     let began = time::Instant::now();
     let threads = plan.threads.clamp(1, plan.callers.max(1));
@@ -105,9 +105,9 @@
 }
 
 async fn run_callers(plan: &RepeatPlan, callers: usize) -> Vec<CallerCount> {
-    let end = time::Instant::now() + plan.limit;
+    let deadline = time::Instant::now() + plan.duration;
     let tasks: Vec<_> = (0..callers)
-        .map(|_| tokio::spawn(repeat(plan.clone(), end)))
+        .map(|_| tokio::spawn(repeat(plan.clone(), deadline)))
         .collect();
     let mut counts = Vec::new();
     for task in tasks {
@@ -116,23 +116,23 @@
     counts
 }
 
-async fn repeat(plan: RepeatPlan, end: time::Instant) -> CallerCount {
+async fn repeat(plan: RepeatPlan, deadline: time::Instant) -> CallerCount {
     let mut count = CallerCount::default();
-    let Ok(mut sender) = http_client::connect(plan.to, OPEN_LIMIT).await else {
+    let Ok(mut sender) = http_client::connect(plan.to, CONNECT_TIMEOUT).await else {
         count.failed = 1;
         return count;
     };
     let Some(template) = template(&plan) else {
         return count;
     };
-    while time::Instant::now() < end {
-        let asked = time::Instant::now();
+    while time::Instant::now() < deadline {
+        let sent_at = time::Instant::now();
         match http_client::read_answer(&mut sender, template.clone(), MAX_ANSWER_BYTES).await {
             Ok(answer) if answer.status == http::StatusCode::OK => {
                 count.answered += 1;
                 count
                     .micros
-                    .push(u32::try_from(asked.elapsed().as_micros()).unwrap_or(u32::MAX));
+                    .push(u32::try_from(sent_at.elapsed().as_micros()).unwrap_or(u32::MAX));
             }
             _ => count.failed += 1,
         }
--- a/tests/promise_drain.rs
+++ b/tests/promise_drain.rs
@@ -278,7 +278,7 @@
         let mut named = false;
         for host in &system.hosts {
             let answer =
-                ledgespool::standin::caller::ask(host.callers, common::SERVICE, None).await;
+                ledgespool::standin::caller::look_up_at(host.callers, common::SERVICE, None).await;
             named |=
                 answer.is_none_or(|answer| answer.hosts.iter().any(|host| host.name == "entry-2"));
         }
--- a/tests/promise_regions.rs
+++ b/tests/promise_regions.rs
@@ -10,7 +10,7 @@
 use ledgespool::standin::platform::PlatformFaults;
 
 async fn is_named(system: &System, asked: usize, name: &str) -> bool {
-    let answer = caller::ask(system.hosts[asked].callers, common::SERVICE, None).await;
+    let answer = caller::look_up_at(system.hosts[asked].callers, common::SERVICE, None).await;
     answer.is_some_and(|answer| answer.hosts.iter().any(|host| host.name == name))
 }
 
