--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the real programs as separate processes on free loopback ports, and ends them.
+//! Starts the programs as separate processes on free loopback ports and stops them after a test.
 
 #![allow(dead_code, reason = "each test file uses its own part of the harness")]
 #![allow(missing_docs, reason = "test code")]
@@ -27,11 +27,11 @@
 
 pub const TOKEN: &str = "operator-token";
 pub const PEER_TOKEN: &str = "peer-token";
-/// Generous: a busy machine changes how long a test takes, never its verdict.
+/// Timeout of each wait. It is long, so that a busy machine delays a test but does not fail it.
 pub const PATIENCE: Duration = Duration::from_mins(1);
 pub const SERVICE: &str = "desk";
 
-/// A process that this test started; it is ended when dropped.
+/// A process that a test started; it is killed when dropped.
 pub struct Process {
     pub child: Child,
 }
@@ -62,7 +62,7 @@
         let _status = self.child.wait();
     }
 
-    /// Waits for an end of its own; `None` when it is still running after all patience.
+    /// Waits for the process to exit and returns its exit code; `None` if the wait times out.
     pub fn wait(&mut self) -> Option<i32> {
         wait_for(|| self.child.try_wait().ok().flatten()).and_then(|status| status.code())
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Polls until there is a value or patience runs out.
+/// Polls until there is a value or the timeout expires.
 pub fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> Option<T> {
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
@@ -90,7 +90,7 @@
     None
 }
 
-/// Polls an async condition until it holds; panics with `what` when patience runs out.
+/// Polls an async condition until it holds; panics with `what` when the timeout expires.
 pub async fn until<F: Future<Output = bool>>(what: &str, mut poll: impl FnMut() -> F) {
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
@@ -102,8 +102,8 @@
     panic!("not reached: {what}");
 }
 
-/// A port that is free now, from a range below the one for outgoing connections. Each test process
-/// starts at a place of its own.
+/// Returns a port that is currently free, from a range below the ephemeral ports. Each test process
+/// starts at a different port.
 pub fn free_port() -> u16 {
     const FIRST: u16 = 10_000;
     const COUNT: u16 = 20_000;
@@ -140,17 +140,17 @@
     (process, read)
 }
 
-/// What a test system is made of.
+/// Configuration of a test system.
 #[derive(Clone)]
 pub struct SystemPlan {
     pub regions: Vec<(&'static str, Vec<&'static str>)>,
     pub servers_per_hall: usize,
     pub slots: u32,
-    /// Hall of each entry host.
+    /// The hall of each entry host.
     pub hosts: Vec<&'static str>,
     pub shift_concurrent: u32,
     pub shift_share: f64,
-    /// Whether the hosts reach the platform through a proxy of their own each.
+    /// Whether each host reaches the platform through its own proxy.
     pub platform_proxies: bool,
     pub list_hosts: bool,
     /// `steered` or `naive`.
@@ -180,7 +180,7 @@
     pub callers: net::SocketAddr,
     pub control: net::SocketAddr,
     pub settings: PathBuf,
-    /// The admin address of its proxy to the platform.
+    /// Admin address of the host's proxy to the platform.
     pub platform_proxy: Option<net::SocketAddr>,
 }
 
@@ -191,7 +191,7 @@
     pub address: net::SocketAddr,
 }
 
-/// A whole system of separate processes.
+/// A complete system of separate processes.
 pub struct System {
     pub plan: SystemPlan,
     pub dir: PathBuf,
@@ -203,7 +203,7 @@
 }
 
 impl System {
-    /// Starts everything, applies the declaration with the command line and waits for grants.
+    /// Starts all processes, applies the declaration with the command line and waits for grants.
     pub async fn start(plan: SystemPlan) -> Self {
         let mut system = Self::start_processes(&plan);
         system.write_declaration();
@@ -303,7 +303,7 @@
         });
     }
 
-    /// Starts a host's process anew, as the platform would replace it.
+    /// Kills a host's process and starts a new one, as the platform does.
     pub fn restart_host(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.process.kill();
@@ -374,7 +374,7 @@
         .await;
     }
 
-    /// Runs the operators' command line against the first host that still runs.
+    /// Runs the operators' command line against the first host.
     pub fn cli(&self, command: &[&str], rest: &[&str]) -> std::process::Output {
         self.cli_at(self.hosts[0].control, command, rest)
     }
@@ -399,7 +399,7 @@
         output.expect("the command line runs")
     }
 
-    /// Waits until every host has the declaration and units of its own hall in force.
+    /// Waits until every host has an active declaration, a grant and a complete member list.
     pub async fn wait_ready(&self) {
         self.list_hosts(&self.hosts.iter().collect::<Vec<_>>())
             .await;
@@ -416,7 +416,7 @@
         .await;
     }
 
-    /// Tells the platform which hosts exist.
+    /// Sets the platform's list of hosts.
     pub async fn list_hosts(&self, hosts: &[&Host]) {
         if !self.plan.list_hosts {
             return;
@@ -463,7 +463,7 @@
         serde_json::from_slice(&answer.body).expect("a log")
     }
 
-    /// Runs of all servers, by request id.
+    /// Returns the runs of all servers.
     pub async fn runs(&self) -> Vec<ledgespool::standin::backend::RunRecord> {
         let mut runs = Vec::new();
         for index in 0..self.servers.len() {
@@ -518,7 +518,7 @@
         .expect("an answer")
 }
 
-/// A read of `bytes` bytes that a server works on for `work_ms`.
+/// Returns a read request of `bytes` bytes that a server works on for `work_ms`.
 pub fn read_request(id: &str, work_ms: u64, bytes: usize) -> CallerRequest {
     CallerRequest {
         service: SERVICE.to_owned(),
@@ -533,7 +533,7 @@
     }
 }
 
-/// A release start that may run once under its key.
+/// Returns a release request that may run only once for its claim key.
 pub fn release_request(id: &str, key: &str, work_ms: u64) -> CallerRequest {
     CallerRequest {
         class: "release".to_owned(),
@@ -543,7 +543,7 @@
     }
 }
 
-/// A claim key made now.
+/// Returns a new claim key with the current time.
 pub fn new_key(token: &str) -> String {
     format!("{}-{token}-key", ledgespool::timer::unix_millis())
 }
@@ -551,11 +551,11 @@
 pub fn assert_whole(result: &CallerResult) {
     assert!(
         result.whole,
-        "the own whole answer is expected, got {result:?}"
+        "expected the complete answer to this request, got {result:?}"
     );
 }
 
-/// A request of a [`Crowd`] and what became of it.
+/// A request of a [`Crowd`] and its result.
 #[derive(Debug, Clone)]
 pub struct Sent {
     pub id: String,
@@ -563,22 +563,22 @@
     pub result: CallerResult,
 }
 
-/// Callers that send one request after the other until they are told to stop.
+/// Concurrent callers that each send one request after the other until they are stopped.
 pub struct Crowd {
     stop: std::sync::Arc<std::sync::atomic::AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<Vec<Sent>>>,
 }
 
-/// What a crowd sends.
+/// The callers and requests of a [`Crowd`].
 #[derive(Clone)]
 pub struct CrowdPlan {
     pub name: &'static str,
     pub callers: usize,
     pub work_ms: u64,
     pub bytes: usize,
-    /// Every so many requests is a claimed release; 0 for none.
+    /// Interval in requests at which a caller sends a claimed release; 0 for none.
     pub release_every: u64,
-    /// Callers live in this region's blocks, each in one of its own: 1 for the first.
+    /// The region, counted from 1, whose blocks contain the callers' addresses, one block each.
     pub from_region: Option<u8>,
     pub extra_query: &'static str,
     pub deadline: Duration,
@@ -660,7 +660,8 @@
     sent
 }
 
-/// Not run means not run, answered means run and whole, and a key runs at most once.
+/// Asserts that reported outcomes are correct: requests reported as not run did not run, answered
+/// ones ran and are complete, and each claim key ran at most once.
 pub fn assert_truthful(sent: &[Sent], runs: &[ledgespool::standin::backend::RunRecord]) {
     use ledgespool::result_code::RequestOutcome;
     let mut by_id: std::collections::HashMap<&str, usize> = std::collections::HashMap::new();
@@ -676,11 +677,11 @@
     for sent in sent {
         let count = by_id.get(sent.id.as_str()).copied().unwrap_or(0);
         match sent.result.outcome {
-            Some(RequestOutcome::NotRun) => assert_eq!(count, 0, "told not run, yet run: {sent:?}"),
+            Some(RequestOutcome::NotRun) => assert_eq!(count, 0, "not run, but ran: {sent:?}"),
             Some(RequestOutcome::Answered) if sent.result.status == Some(200) => {
                 assert!(
                     count >= 1 && sent.result.whole,
-                    "answered, yet not run or not whole: {sent:?}"
+                    "answered, but not run or incomplete: {sent:?}"
                 );
             }
             _ => {}
--- a/tests/common/peer_records.rs
+++ b/tests/common/peer_records.rs
@@ -1,9 +1,9 @@
-//! Records and heartbeats of entry hosts for tests.
+//! Builds records and heartbeats of entry hosts for tests and benches.
 
 use ledgespool::entry::peer_message::{PeerHeartbeat, WatchState};
 use ledgespool::entry::peers::HostRecord;
 
-/// The first run of a host, at an address that nobody listens on.
+/// Returns the record of a host's first run, at an address on which nothing listens.
 pub fn record(name: &str, hall: &str, region: &str, processor_milli: u32) -> HostRecord {
     let address = "127.0.0.1:9".parse().expect("an address");
     HostRecord {
@@ -19,7 +19,7 @@
     }
 }
 
-/// A heartbeat with the whole record of a host that is ready and not leaving.
+/// Returns a heartbeat with the full record of a host that is ready and not leaving.
 pub fn heartbeat(record: &HostRecord, watch: WatchState) -> PeerHeartbeat {
     PeerHeartbeat {
         host: record.name.clone(),
--- a/tests/common/process_start.rs
+++ b/tests/common/process_start.rs
@@ -1,23 +1,23 @@
-//! Starting processes beside threads that look for free addresses.
+//! Starts processes while other threads look for free addresses.
 //!
-//! Until it runs its own program a new process holds copies of all open sockets, so that an address that
-//! was tried just then would not be free when it is used. Without the lock 52 of 5,000 addresses
-//! were taken beside four threads that start processes.
+//! Between fork and exec a new process holds copies of all open sockets. An address that is probed in
+//! that time is still in use when the test binds it. Without the lock 52 of 5,000 addresses were in
+//! use while four threads started processes.
 
 use std::process::{Child, Command};
 use std::sync::RwLock;
 
-/// Held for reading while a process starts, and for writing while an address is tried.
-static SOCKETS_ARE_COPIED: RwLock<()> = RwLock::new(());
+/// Held for reading while a process starts, and for writing while an address is probed.
+static PROCESS_START_LOCK: RwLock<()> = RwLock::new(());
 
-/// Starts a process; it runs its own program when this returns.
+/// Starts a process. When this returns, the process has executed its program.
 pub fn start(command: &mut Command) -> Child {
-    let _no_address_is_tried = SOCKETS_ARE_COPIED.read().expect("no test panicked here");
+    let _start_guard = PROCESS_START_LOCK.read().expect("no test panicked here");
     command.spawn().expect("the process starts")
 }
 
-/// Does something while no process starts, such as trying an address.
+/// Runs an action, such as probing an address, while no process is being started.
 pub fn while_none_starts<T>(action: impl FnOnce() -> T) -> T {
-    let _no_process_starts = SOCKETS_ARE_COPIED.write().expect("no test panicked here");
+    let _probe_guard = PROCESS_START_LOCK.write().expect("no test panicked here");
     action()
 }
--- a/tests/common/seeded.rs
+++ b/tests/common/seeded.rs
@@ -1,9 +1,9 @@
-//! Property tests that give the same verdict each time.
+//! Configuration for reproducible property tests.
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
-/// A configuration with a fixed seed; a failure leaves no file behind.
+/// Returns a configuration with a fixed seed that writes no file on failure.
 pub fn config() -> ProptestConfig {
     ProptestConfig {
         failure_persistence: None,
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input: each reader refuses with a numbered error and never panics.
+//! Invalid input: each parser returns an error code and never panics.
 
 use ledgespool::claim::{ClaimKey, ClaimShard};
 use ledgespool::config_object::ConfigObject;
@@ -19,7 +19,7 @@
 fn faults(content: &str) -> Vec<(ResultCode, Option<usize>)> {
     let fault = declaration::from_sources(&[text(content)]).expect_err("a fault is expected");
     let Error::Rejected(input) = fault else {
-        panic!("all faults together are expected, got {fault}");
+        panic!("expected a list of all faults, got {fault}");
     };
     input
         .problems
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn all_faults_are_refused_together_each_at_its_line() {
+fn all_faults_are_reported_together_with_their_lines() {
     let content = r#"{
       "services": [ { "name": "desk", "classes": [
         { "name": "read", "weight": 5, "deadline": 30, "repeatable": true } ],
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn shift_caps_past_a_link_are_refused() {
+fn shift_caps_above_a_links_capacity_are_refused() {
     let content = r#"{ "services": [ { "name": "desk", "classes": [ { "name": "r", "weight": 1, "deadline": "1s", "repeatable": true } ],
         "shift": { "concurrent": 9, "share_per_minute": 0.5 } } ],
       "regions": [ { "name": "a" }, { "name": "b" } ],
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn settings_name_every_missing_field() {
+fn settings_report_every_missing_field() {
     let Err(Error::Rejected(input)) = settings::from_source(&text("{}")) else {
-        panic!("a refusal is expected");
+        panic!("expected an error");
     };
     let missing = input
         .problems
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' day: check, plan, apply, races, drains, the time line.
+//! The operators' commands: plan, apply, concurrent changes, drains and the timeline.
 
 mod common;
 
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_change_is_planned_applied_shown_and_refused_when_faulty() {
+async fn changes_are_planned_applied_listed_and_refused_when_invalid() {
     let mut system = System::start(SystemPlan::default()).await;
     let plan = system.cli(&["plan"], &["declaration"]);
     assert!(text(&plan).contains("0 change(s)"), "{}", text(&plan));
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn of_two_operators_one_wins_and_the_same_operation_counts_once() {
+async fn one_of_two_concurrent_changes_wins_and_a_retried_operation_applies_once() {
     let system = System::start(SystemPlan::default()).await;
     let client = |index: usize| {
         let control = system.hosts[index].control;
@@ -108,7 +108,7 @@
     );
 
     let winner = if first.is_ok() { "race-a" } else { "race-b" };
-    let again = change(
+    let retry = change(
         winner,
         if winner == "race-a" {
             "desk-perth-1-0"
@@ -117,11 +117,11 @@
         },
     );
     let repeated: ChangeResult = client(2)
-        .call(method::CHANGE, &again)
+        .call(method::CHANGE, &retry)
         .await
         .expect("the same operation");
     assert_eq!(
         repeated.generation, 2,
-        "the repeat names the generation that it made before"
+        "a retry returns the generation of the first call"
     );
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path by separate processes: platform, backend servers, entry hosts, command line.
+//! A complete system of separate processes: platform, backend servers, entry hosts, command line.
 
 mod common;
 
