--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -1,6 +1,7 @@
-//! What it costs to choose a backend server: `cargo bench --bench choice`.
+//! Measures the time to choose a backend server: `cargo bench --bench choice`.
 //!
-//! The aims are 2 microseconds with 36 servers and 5 with 450 (docs/MEASUREMENTS.md has the figures).
+//! The targets are 2 microseconds with 36 servers and 5 microseconds with 450
+//! (docs/MEASUREMENTS.md has the figures).
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -23,21 +24,21 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-/// Choices for each figure; some tenths of a second.
+/// Number of choices per figure; they take some tenths of a second.
 const CHOICES: u64 = 200_000;
 
 fn main() {
     println!("| servers | objects | microseconds a choice |");
     println!("|---|---|---|");
     for servers in [36, 150, 450, 1_000] {
-        for (word, objects) in [("100", Some(100)), ("none", None)] {
+        for (label, objects) in [("100", Some(100)), ("none", None)] {
             let micros = measure(servers, objects);
-            println!("| {servers} | {word} | {micros:.2} |");
+            println!("| {servers} | {label} | {micros:.2} |");
         }
     }
 }
 
-/// The time of one choice in microseconds; `objects` is how many different ones are asked for.
+/// Returns the time of one choice in microseconds; `objects` is the number of distinct objects.
 fn measure(servers: usize, objects: Option<u64>) -> f64 {
     let fleet = fleet(servers);
     let evacuated = BTreeSet::new();
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -1,5 +1,5 @@
-//! Two ways to claim, by platform calls for each claim and added latency: a conditional create for each request,
-//! and group commits by the shards' owners, against the platform stand-in with 3 ms a call.
+//! Compares two claim strategies by platform calls per claim and added latency: a conditional create
+//! for each request, and group commits by the shard owners. The platform stand-in takes 3 ms per call.
 //!
 //! `cargo bench --bench claims`
 
@@ -30,7 +30,7 @@
         .expect("a runtime");
     println!(
         "{:<26}{:>8}{:>18}{:>12}{:>12}",
-        "way", "rate/s", "calls per claim", "p50 ms", "p99 ms"
+        "strategy", "rate/s", "calls per claim", "p50 ms", "p99 ms"
     );
     for rate in RATES {
         let system = runtime.block_on(start());
@@ -42,8 +42,8 @@
     }
 }
 
-fn print_row(way: &str, rate: f64, calls: f64, p50: f64, p99: f64) {
-    println!("{way:<26}{rate:>8.0}{calls:>18.2}{p50:>12.1}{p99:>12.1}");
+fn print_row(strategy: &str, rate: f64, calls: f64, p50: f64, p99: f64) {
+    println!("{strategy:<26}{rate:>8.0}{calls:>18.2}{p50:>12.1}{p99:>12.1}");
 }
 
 async fn start() -> System {
@@ -65,14 +65,14 @@
     (calls.reads + calls.writes) as f64
 }
 
-/// Reads and writes a second without any claim.
+/// Returns the platform reads and writes per second without any claims.
 async fn idle_calls(system: &System) -> f64 {
     let before = total(system.platform_calls().await);
     tokio::time::sleep(Duration::from_secs(3)).await;
     (total(system.platform_calls().await) - before) / 3.0
 }
 
-/// What the claims alone asked of the platform, for each claim.
+/// Returns the platform calls per claim, without the calls of the idle system.
 async fn calls_per_claim(
     system: &System,
     before: f64,
@@ -117,7 +117,8 @@
     )
 }
 
-/// Creates a claim's own object, then records its outcome; returns how long the create took.
+/// Creates an object for a claim, then records its outcome. Returns the time of the create in
+/// milliseconds.
 async fn create_and_settle(client: &PlatformClient, number: u64) -> f64 {
     let object = ObjectName {
         kind: "single",
@@ -128,11 +129,11 @@
         bytes: b"{}".to_vec(),
         expected: None,
     };
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let PlatformReply::Write(WriteResult::Stored { version }) = client.call(&create).await else {
         panic!("a new object is created");
     };
-    let millis = asked.elapsed().as_secs_f64() * 1_000.0;
+    let millis = sent_at.elapsed().as_secs_f64() * 1_000.0;
     let settle = PlatformCall::Write {
         object,
         bytes: b"{\"status\":200}".to_vec(),
--- a/benches/customers.rs
+++ b/benches/customers.rs
@@ -1,8 +1,9 @@
-//! How long it takes to find who asks, by the number of keys, and what a host holds for them.
+//! Measures the look-up of a customer by key, and the encoded size of the keys, by number of keys.
 //!
-//! Figure: nanoseconds a search, from the key's bytes to its customer, and bytes a key as hosts send
-//! them to each other. For 76, 10,000 and 100,000 keys a list that is searched from its begin took 162,
-//! 10,290 and 236,577 ns a search; the table by digests 120, 167 and 485 (the rest is the digest itself).
+//! Figures: nanoseconds per look-up, from the key's bytes to its customer, and bytes per key in the
+//! format that hosts send to each other. With 76, 10,000 and 100,000 keys a linear search took 162,
+//! 10,290 and 236,577 ns; the table of digests took 120, 167 and 485 ns, including the computation of
+//! the digest.
 
 use std::hint::black_box;
 use std::rc::Rc;
@@ -10,18 +11,18 @@
 
 use ledgespool::entry::customer::{CustomerRule, CustomerTable, KeyDigest};
 
-/// Keys of one customer.
-const KEYS: usize = 2;
-/// Searches for each figure.
+/// Number of keys per customer.
+const KEYS_PER_CUSTOMER: usize = 2;
+/// Number of table look-ups per figure.
 const SEARCHES: usize = 100_000;
-/// Searches of the list, which takes longer.
+/// Number of linear searches per figure; fewer, as they take longer.
 const SCANS: usize = 1_000;
 
 fn main() {
     println!("| keys | nanoseconds a search | by a list | bytes a key |");
     println!("|---|---|---|---|");
     for keys in [76, 10_000, 100_000] {
-        let rules = rules(keys / KEYS);
+        let rules = rules(keys / KEYS_PER_CUSTOMER);
         let table = CustomerTable::from_rules(&rules);
         let search = measure(SEARCHES, keys, |key| {
             let digest = KeyDigest::of_key(key);
@@ -47,8 +48,8 @@
 fn rules(customers: usize) -> Vec<Rc<CustomerRule>> {
     let rule = |customer: usize| CustomerRule {
         name: format!("customer-{customer}"),
-        keys: (0..KEYS)
-            .map(|number| KeyDigest::of_key(key(customer * KEYS + number).as_bytes()))
+        keys: (0..KEYS_PER_CUSTOMER)
+            .map(|number| KeyDigest::of_key(key(customer * KEYS_PER_CUSTOMER + number).as_bytes()))
             .collect(),
         priority: None,
         limit: None,
@@ -59,13 +60,13 @@
         .collect()
 }
 
-/// Nanoseconds a search.
+/// Returns the nanoseconds per search.
 fn measure(searches: usize, keys: usize, search: impl Fn(&[u8]) -> Option<usize>) -> f64 {
-    let wanted: Vec<String> = (0..keys).map(key).collect();
+    let keys_to_find: Vec<String> = (0..keys).map(key).collect();
     let start = Instant::now();
     for number in 0..searches {
-        let key = wanted[number.wrapping_mul(7_919) % keys].as_bytes();
-        assert!(black_box(search(key)).is_some(), "each key is held");
+        let key = keys_to_find[number.wrapping_mul(7_919) % keys].as_bytes();
+        assert!(black_box(search(key)).is_some(), "each key is found");
     }
     start.elapsed().as_secs_f64() * 1e9 / searches as f64
 }
--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -1,6 +1,8 @@
-//! What the number of servers and of hosts costs one host: `cargo bench --bench fleet_size`.
+//! Measures the cost for one host by the number of servers and hosts: `cargo bench --bench
+//! fleet_size`.
 //!
-//! Times are of one whole core; most hosts of a large fleet have a tenth of one. docs/CAPACITY.md has the figures.
+//! Times are for one whole core; most hosts of a large fleet have a tenth of one. docs/CAPACITY.md
+//! has the figures.
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -29,8 +31,8 @@
 #[path = "../tests/common/peer_records.rs"]
 mod peer_records;
 
-/// The memory of this process, in bytes.
-fn held_bytes() -> usize {
+/// Returns the resident memory of this process, in bytes.
+fn resident_bytes() -> usize {
     const PAGE_BYTES: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").expect("the kernel's figures");
     let pages = text.split_whitespace().nth(1).expect("resident pages");
@@ -46,14 +48,14 @@
         measure_servers(servers);
     }
     println!();
-    println!("| hosts | bytes each | heartbeat told, us | heartbeat heard, us |");
+    println!("| hosts | bytes each | heartbeat sent, us | heartbeat received, us |");
     println!("|---|---|---|---|");
     for hosts in [2_619, 986, 300, 100, 9] {
         measure_hosts(hosts);
     }
 }
 
-/// The time of one call in microseconds, over many.
+/// Returns the mean time of one call, in microseconds.
 fn micros(count: u64, mut work: impl FnMut(u64)) -> f64 {
     let start = Instant::now();
     for number in 0..count {
@@ -93,12 +95,12 @@
 fn measure_servers(count: usize) {
     let halls = halls();
     let objects: Vec<StoredObject> = (0..count).map(|number| server(number, 1)).collect();
-    let before = held_bytes();
+    let before = resident_bytes();
     let mut fleet = Fleet::default();
     let list_us = micros(1, |_| {
         fleet.on_list(&objects, 1, MissingSource::Store, &halls, Moment(0));
     });
-    let bytes = held_bytes().saturating_sub(before) / count;
+    let bytes = resident_bytes().saturating_sub(before) / count;
     let change_us = micros(20, |number| {
         let revision = number + 2;
         let change = ObjectChange {
@@ -177,30 +179,30 @@
         let region = format!("region-{}", number % 3);
         peer_records::record(&format!("edge-{number}"), &hall(number), &region, 100)
     };
-    let before = held_bytes();
+    let before = resident_bytes();
     let mut peers = PeerTable::default();
     for number in 1..count {
         peers.on_record(&record(number), Moment(0));
     }
-    let bytes = held_bytes().saturating_sub(before) / count;
-    let mut beats: Vec<_> = (1..count.min(40))
+    let bytes = resident_bytes().saturating_sub(before) / count;
+    let mut heartbeats: Vec<_> = (1..count.min(40))
         .map(|number| peer_records::heartbeat(&record(number), WatchState::Idle))
         .collect();
-    for beat in &beats {
-        peers.on_heartbeat(beat, Moment(1));
+    for heartbeat in &heartbeats {
+        peers.on_heartbeat(heartbeat, Moment(1));
     }
-    let told_us = micros(200, |_| {
+    let send_us = micros(200, |_| {
         black_box(peers.recent_statuses_all_regions("region-0", Moment(100)));
     });
-    let heard = peers.recent_statuses_all_regions("region-0", Moment(100));
-    for beat in &mut beats {
-        beat.peer_statuses.clone_from(&heard);
+    let statuses = peers.recent_statuses_all_regions("region-0", Moment(100));
+    for heartbeat in &mut heartbeats {
+        heartbeat.peer_statuses.clone_from(&statuses);
     }
     let own = record(0);
-    let heard_us = micros(200, |number| {
-        let beat = &beats[number as usize % beats.len()];
-        peers.on_heartbeat(beat, Moment(200 + number));
-        black_box(peers.missing_hosts_request(beat, &own, Moment(200 + number)));
+    let receive_us = micros(200, |number| {
+        let heartbeat = &heartbeats[number as usize % heartbeats.len()];
+        peers.on_heartbeat(heartbeat, Moment(200 + number));
+        black_box(peers.missing_hosts_request(heartbeat, &own, Moment(200 + number)));
     });
-    println!("| {count} | {bytes} | {told_us:.1} | {heard_us:.1} |");
+    println!("| {count} | {bytes} | {send_us:.1} | {receive_us:.1} |");
 }
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,7 +1,7 @@
-//! What look-ups cost, and what forwarding adds, with separate processes.
+//! Measures look-ups and the overhead of forwarding, with separate processes.
 //!
-//! `cargo bench --bench path` prints a table; `-- --json` prints JSON. Every comparison is of two
-//! ways in one run. Absolute figures hold for one machine only.
+//! `cargo bench --bench path` prints a table; `-- --json` prints JSON. Direct and forwarded requests
+//! are compared within one run. Absolute figures hold for one machine only.
 
 #![allow(missing_docs, reason = "a bench")]
 
@@ -18,7 +18,7 @@
 const SECONDS: u64 = 3;
 const LOOKUP_CALLERS: usize = 16;
 
-/// Blocks that add up to the target's 170,000.
+/// Client blocks that add up to the target of 170,000.
 const TARGET_BLOCKS: &str = "[{ \"prefix\": \"10.0.0.0/8\", \"split\": 24, \"region\": \"perth\" }, { \"prefix\": \"11.0.0.0/9\", \"split\": 24, \"region\": \"bunbury\" }, { \"prefix\": \"12.0.0.0/8\", \"split\": 24, \"region\": \"perth\" }, { \"prefix\": \"13.0.0.0/12\", \"split\": 24, \"region\": \"bunbury\" }, { \"prefix\": \"13.64.0.0/13\", \"split\": 24, \"region\": \"bunbury\" }, { \"prefix\": \"13.128.0.0/20\", \"split\": 24, \"region\": \"bunbury\" }, { \"prefix\": \"127.0.0.0/24\", \"region\": \"perth\" }]";
 
 fn main() {
@@ -138,7 +138,7 @@
     );
 }
 
-/// The resident memory of a process, from `/proc`.
+/// Returns the resident memory of a process in bytes, from `/proc`.
 fn resident_bytes(process: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
     let pages: u64 = text
--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -1,7 +1,8 @@
-//! The slopes that docs/CAPACITY.md is worked out from, as a table, as JSON and as a plot.
+//! Measures how costs grow with size, as a table, JSON or a plot. docs/CAPACITY.md is derived from
+//! these slopes.
 //!
-//! `cargo bench --bench slopes` prints the table; `-- --json` prints JSON; `-- --plot` writes docs/slopes.svg.
-//! `-- --hosts 48` sets the most entry hosts that are started as processes.
+//! `cargo bench --bench slopes` prints the table; `-- --json` prints JSON; `-- --plot` writes
+//! docs/slopes.svg. `-- --hosts 48` sets the maximum number of entry hosts to start as processes.
 
 #![allow(missing_docs, reason = "a bench")]
 
@@ -35,7 +36,7 @@
 use ledgespool::topology::{HallId, SteeringTopology};
 use plotters::prelude::*;
 
-/// One measured curve.
+/// A measured curve and its linear fit.
 #[derive(serde::Serialize)]
 struct Curve {
     name: &'static str,
@@ -110,13 +111,13 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
-    let after = |name: &str| {
+    let value_after = |name: &str| {
         arguments
             .iter()
             .position(|argument| argument == name)
             .and_then(|at| arguments.get(at + 1))
     };
-    let most_hosts = after("--hosts")
+    let max_hosts = value_after("--hosts")
         .and_then(|hosts| hosts.parse().ok())
         .unwrap_or(48);
     let mut curves = block_curves();
@@ -127,7 +128,7 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    curves.extend(runtime.block_on(process_curves(most_hosts)));
+    curves.extend(runtime.block_on(process_curves(max_hosts)));
     if arguments.iter().any(|argument| argument == "--json") {
         println!("{}", serde_json::to_string_pretty(&curves).expect("json"));
     } else {
@@ -206,7 +207,7 @@
     SteeringTopology::from_declaration(1, &Arc::new(declaration(halls, servers_per_hall, blocks)))
 }
 
-/// The median of several runs, in microseconds.
+/// Returns the median time of several runs, in microseconds.
 fn median_us(runs: usize, mut work: impl FnMut()) -> f64 {
     let mut micros: Vec<f64> = (0..runs)
         .map(|_| {
@@ -274,7 +275,7 @@
             for step in 0..10_000 {
                 let now = Moment(20_000 + step / 10);
                 let AdmitDecision::Admitted(admission) = role.admit(&facts, now) else {
-                    panic!("there is room");
+                    panic!("there is free capacity");
                 };
                 role.end_attempt(&admission, AttemptResult::Success, Some(1), now.plus(5));
                 role.finish(&admission);
@@ -285,7 +286,8 @@
     Curve::fit("admit, choose and finish", "ns", "servers", points)
 }
 
-/// One planner with reports of many hosts in 85 places: the time of a plan and the size of its object.
+/// Measures one planner with reports of many hosts in 85 places: the time to make a plan and the size
+/// of its object.
 fn planner_curves() -> Vec<Curve> {
     let (mut time, mut size) = (Vec::new(), Vec::new());
     let topology = topology(85, 4, 256);
@@ -296,11 +298,11 @@
         rank: Some(0),
     };
     for hosts in [9, 47, 94, 235, 470] {
-        let me = HostIdentity {
+        let identity = HostIdentity {
             name: "entry-0".to_owned(),
             incarnation: 1,
         };
-        let mut role = PlannerRole::new(me, Moment(0));
+        let mut role = PlannerRole::new(identity, Moment(0));
         assert_eq!(role.tick(&view, Moment(1)), Some(PlannerAction::Read));
         role.on_read(&ReadResult::Absent, &view, Moment(1));
         role.on_write(WriteResult::Stored { version: 1 }, Moment(1));
@@ -349,14 +351,14 @@
     }
 }
 
-/// Idle entry hosts as processes: what control costs each of them, and the platform.
-async fn process_curves(most_hosts: usize) -> Vec<Curve> {
+/// Measures idle entry hosts as processes: processor time and memory of a host, and platform calls.
+async fn process_curves(max_hosts: usize) -> Vec<Curve> {
     const SECONDS: u64 = 10;
     const HALLS: [&str; 6] = ["a-1", "a-2", "b-1", "b-2", "c-1", "c-2"];
     let (mut cpu, mut memory, mut calls) = (Vec::new(), Vec::new(), Vec::new());
     for hosts in [3, 6, 12, 24, 48, 96]
         .into_iter()
-        .filter(|&hosts| hosts <= most_hosts)
+        .filter(|&hosts| hosts <= max_hosts)
     {
         let system = System::start(SystemPlan {
             regions: vec![
@@ -438,8 +440,8 @@
     let root = SVGBackend::new("docs/slopes.svg", size).into_drawing_area();
     root.fill(&WHITE)?;
     for (area, curve) in root.split_evenly((rows, COLUMNS)).iter().zip(curves) {
-        let most_x = curve.points.iter().map(|point| point.0).fold(1.0, f64::max);
-        let most_y = curve
+        let max_x = curve.points.iter().map(|point| point.0).fold(1.0, f64::max);
+        let max_y = curve
             .points
             .iter()
             .map(|point| point.1)
@@ -453,14 +455,14 @@
             .margin(8)
             .x_label_area_size(30)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..most_x * 1.05, 0.0..most_y)?;
+            .build_cartesian_2d(0.0..max_x * 1.05, 0.0..max_y)?;
         chart
             .configure_mesh()
             .x_desc(curve.over)
             .x_labels(4)
             .y_labels(5)
             .draw()?;
-        let ends = [0.0, most_x].map(|x| (x, curve.slope * x + curve.intercept));
+        let ends = [0.0, max_x].map(|x| (x, curve.slope * x + curve.intercept));
         chart.draw_series(LineSeries::new(ends, &BLUE.mix(0.4)))?;
         chart.draw_series(
             curve
--- a/benches/steering.rs
+++ b/benches/steering.rs
@@ -1,8 +1,9 @@
-//! The steered version against the naive one, with real processes in the Firm's shape: 3 regions, 6 halls,
-//! 24 backend servers of 9 slots, 9 entry hosts.
+//! Compares the steered policy with the naive one, with separate processes: 3 regions, 6 halls, 24
+//! backend servers of 9 slots, 9 entry hosts.
 //!
-//! `cargo bench --bench steering` runs every case for both, in turn; `-- CASE` runs one. Times of work are
-//! ten times the Firm's, so that one machine can carry the load; capacity is 24 x 9 / 0.2 s = 1,080 a second.
+//! `cargo bench --bench steering` runs every case with both policies; `-- CASE` runs one case. Work
+//! times are ten times those of the modelled deployment, so that one machine can carry the load. The
+//! capacity is 24 x 9 / 0.2 s = 1,080 requests per second.
 
 #![allow(missing_docs, reason = "a bench")]
 
@@ -24,21 +25,21 @@
 const SECONDS: f64 = 12.0;
 const SEED: u64 = 7;
 
-/// What is wrong with the first server.
+/// The fault of the first server.
 #[derive(Clone, Copy)]
-enum Trouble {
-    Nothing,
+enum ServerFault {
+    None,
     Slow,
     Failing,
-    /// Slow, and claiming to be idle.
-    Lying,
+    /// Slow, but reports that it is idle.
+    FalseLoad,
 }
 
-impl Trouble {
+impl ServerFault {
     fn faults(self) -> BackendFaults {
         let slow_ms = 4 * WORK_MS;
         match self {
-            Self::Nothing => BackendFaults::default(),
+            Self::None => BackendFaults::default(),
             Self::Slow => BackendFaults {
                 slow_ms,
                 ..BackendFaults::default()
@@ -47,7 +48,7 @@
                 failing: true,
                 ..BackendFaults::default()
             },
-            Self::Lying => BackendFaults {
+            Self::FalseLoad => BackendFaults {
                 slow_ms,
                 claim_load: 1,
                 ..BackendFaults::default()
@@ -58,28 +59,24 @@
 
 struct Case {
     name: &'static str,
-    /// Share of capacity.
+    /// The load, as a share of the capacity.
     load: f64,
-    trouble: Trouble,
+    fault: ServerFault,
 }
 
-const fn case(name: &'static str, load: f64, trouble: Trouble) -> Case {
-    Case {
-        name,
-        load,
-        trouble,
-    }
+const fn case(name: &'static str, load: f64, fault: ServerFault) -> Case {
+    Case { name, load, fault }
 }
 
 const CASES: [Case; 8] = [
-    case("steady-50", 0.5, Trouble::Nothing),
-    case("steady-80", 0.8, Trouble::Nothing),
-    case("steady-95", 0.95, Trouble::Nothing),
-    case("steady-130", 1.3, Trouble::Nothing),
-    case("slow-80", 0.8, Trouble::Slow),
-    case("slow-95", 0.95, Trouble::Slow),
-    case("failing-80", 0.8, Trouble::Failing),
-    case("lying-80", 0.8, Trouble::Lying),
+    case("steady-50", 0.5, ServerFault::None),
+    case("steady-80", 0.8, ServerFault::None),
+    case("steady-95", 0.95, ServerFault::None),
+    case("steady-130", 1.3, ServerFault::None),
+    case("slow-80", 0.8, ServerFault::Slow),
+    case("slow-95", 0.95, ServerFault::Slow),
+    case("failing-80", 0.8, ServerFault::Failing),
+    case("lying-80", 0.8, ServerFault::FalseLoad),
 ];
 
 fn main() {
@@ -88,7 +85,7 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let wanted: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
         .filter(|argument| !argument.starts_with("--"))
         .collect();
@@ -106,10 +103,13 @@
         "peak/9",
         "errors"
     );
-    for case in CASES.iter().filter(|case| is_wanted(&wanted, case.name)) {
+    for case in CASES
+        .iter()
+        .filter(|case| is_selected(&selected, case.name))
+    {
         for policy in POLICIES
             .into_iter()
-            .filter(|policy| !is_left_out(&wanted, policy))
+            .filter(|policy| !is_excluded(&selected, policy))
         {
             let (report, peak) = runtime.block_on(run(case, policy));
             print_row(case, policy, &report, peak);
@@ -119,25 +119,25 @@
 
 const POLICIES: [&str; 2] = ["naive", "steered"];
 
-/// Arguments that are no policy name cases; without any, all cases run.
-fn is_wanted(wanted: &[String], case: &str) -> bool {
-    let mut cases = wanted
+/// Returns whether a case runs. Arguments other than policies name cases; without any, all run.
+fn is_selected(selected: &[String], case: &str) -> bool {
+    let mut cases = selected
         .iter()
         .filter(|name| !POLICIES.contains(&name.as_str()))
         .peekable();
     cases.peek().is_none() || cases.any(|name| name == case)
 }
 
-/// A policy is left out when only the other one is named.
-fn is_left_out(wanted: &[String], policy: &str) -> bool {
-    let named = |policy: &str| wanted.iter().any(|name| name == policy);
+/// Returns whether a policy is excluded because only the other one is named.
+fn is_excluded(selected: &[String], policy: &str) -> bool {
+    let named = |policy: &str| selected.iter().any(|name| name == policy);
     POLICIES.iter().any(|other| named(other)) && !named(policy)
 }
 
 async fn run(case: &Case, policy: &'static str) -> (LoadReport, u32) {
     let system = System::start(firm(policy)).await;
-    system.set_server(0, case.trouble.faults()).await;
-    warm(&system).await;
+    system.set_server(0, case.fault.faults()).await;
+    warm_up(&system).await;
     let plan = plan(&system, case.load, SECONDS);
     let report = tokio::task::spawn_blocking(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -154,20 +154,20 @@
     (report, peak)
 }
 
-/// A few seconds at half load, so that estimates and grants have settled.
-async fn warm(system: &System) {
+/// Runs some seconds at half load, so that estimates and grants settle.
+async fn warm_up(system: &System) {
     let plan = LoadPlan {
         seed: SEED + 1,
         ..plan(system, 0.5, 3.0)
     };
-    let warmed = tokio::task::spawn_blocking(move || {
+    let report = tokio::task::spawn_blocking(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .expect("a runtime");
         runtime.block_on(load::run(&plan))
     });
-    warmed.await.expect("a report");
+    report.await.expect("a report");
 }
 
 fn firm(policy: &'static str) -> SystemPlan {
--- a/examples/drive_budget.rs
+++ b/examples/drive_budget.rs
@@ -1,4 +1,5 @@
-//! Drives the budget of one place by hand: growth is two-step, and the sum never exceeds the limit.
+//! Uses the budget of one place directly: units are moved in two steps, so that the sum of grants
+//! never exceeds the limit.
 //!
 //! `cargo run --example drive_budget`
 
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn one_of_two_concurrent_changes_wins_and_a_retried_operation_applies_once() {
+async fn of_two_operators_one_wins_and_the_same_operation_counts_once() {
     let system = System::start(SystemPlan::default()).await;
     let client = |index: usize| {
         let control = system.hosts[index].control;
