--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,7 +1,7 @@
-//! The controller of one host: the control roles put together, without clock, socket or thread.
+//! The controller of one host. It combines the control roles, without clock, socket or thread.
 //!
-//! Memory: that of its roles, one entry for each worker, at most [`MAX_LEAVING`] leaving servers
-//! and one entry for each claim that waits for its owner.
+//! Memory: that of its roles, one entry for each worker, at most [`MAX_LEAVING_SERVERS`] leaving
+//! servers and one entry for each claim that waits for its owner.
 
 mod claims;
 mod configuration;
@@ -14,7 +14,7 @@
 use std::{collections, net, sync};
 
 use crate::block_map::BlockMap;
-use crate::claim_role::{ClaimRole, WallWindow};
+use crate::claim_role::{ClaimRole, ClaimWindow};
 use crate::config_role::ConfigRole;
 use crate::control_message::{
     CallPurpose, ControlAction, ControlAnswer, ControlInput, WorkerUsage,
@@ -30,29 +30,30 @@
 use crate::topology::SteeringTopology;
 
 /// Leaving servers that are remembered.
-pub const MAX_LEAVING: usize = 1_000;
-/// A leaving server that was not heard of again for this long may serve again.
-const LEAVING_LIFE_MS: u64 = 60_000;
-/// Leaving servers on one heartbeat.
-const LEAVING_PER_HEARTBEAT: usize = 16;
-/// Time between two reports to the planner.
-const REPORT_MS: u64 = 500;
-/// Time between two reads of the platform's host list.
-const HOSTS_MS: u64 = 2_000;
-/// The same for a host that neither plans nor watches for its hall: what matters of the list
-/// reaches it by heartbeats.
-const HOSTS_IDLE_MS: u64 = 20_000;
-/// Pause after a failed watch.
-const WATCH_RETRY_MS: u64 = 500;
-/// A leaving host keeps serving for this long, until look-ups have stopped naming it: their time
-/// to live and the spread of its leaving.
+pub const MAX_LEAVING_SERVERS: usize = 1_000;
+/// A leaving server may serve again if it was not reported as leaving for this long.
+const LEAVING_TTL_MS: u64 = 60_000;
+/// Leaving servers in one heartbeat.
+const MAX_LEAVING_PER_HEARTBEAT: usize = 16;
+/// Interval of reports to the planner.
+const REPORT_INTERVAL_MS: u64 = 500;
+/// Interval of reads of the platform's host list.
+const HOSTS_INTERVAL_MS: u64 = 2_000;
+/// The same interval on a host that is neither the planner nor its hall's watcher. Such a host
+/// learns relevant changes by heartbeats.
+const HOSTS_IDLE_INTERVAL_MS: u64 = 20_000;
+/// Delay after a failed watch.
+const WATCH_RETRY_DELAY_MS: u64 = 500;
+/// A leaving host keeps serving for this long, until look-ups no longer name it. This covers the
+/// lifetime of look-up answers and the time in which its leaving spreads.
 pub const LEAVE_GRACE_MS: u64 = 3_500;
-/// Then it has this long to give its units back, so that nobody waits for the platform's list.
-const GIVE_BACK_MS: u64 = 2_000;
-/// A stop that takes longer than this raises an alarm; nothing is cut.
+/// After that it has this long to release its units, so that nobody has to wait for the platform's
+/// list.
+const RELEASE_GRACE_MS: u64 = 2_000;
+/// A stop that takes longer than this raises an alarm; no request is cut off.
 const STOP_ALARM_MS: u64 = 60_000;
 
-/// What a controller must know of its host.
+/// The settings of a controller.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
     /// The host's own record.
@@ -68,7 +69,7 @@
 /// The controller of one host.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each tells of a change that was logged, none is a mode"
+    reason = "each records a state that was already logged, none is a mode"
 )]
 #[derive(Debug)]
 pub struct HostController {
@@ -82,7 +83,7 @@
     map: Option<sync::Arc<BlockMap>>,
     grants: HostGrants,
     leaving_servers: collections::BTreeMap<String, Moment>,
-    owner_claims: collections::HashMap<u64, claims::OwnerClaim>,
+    forwarded_claims: collections::HashMap<u64, claims::ForwardedClaim>,
     next_ticket: u64,
     platform_ok: bool,
     was_cut_off: bool,
@@ -108,7 +109,7 @@
 }
 
 impl HostController {
-    /// A host that knows nothing yet.
+    /// A controller without configuration, plan or known peers.
     #[must_use]
     pub fn new(settings: &ControlSettings, now: Moment) -> Self {
         let me = settings.me.clone();
@@ -131,8 +132,8 @@
             map: None,
             grants: HostGrants::default(),
             leaving_servers: collections::BTreeMap::new(),
-            owner_claims: collections::HashMap::new(),
-            next_ticket: claims::FIRST_OWN_TICKET,
+            forwarded_claims: collections::HashMap::new(),
+            next_ticket: claims::FIRST_CONTROLLER_TICKET,
             platform_ok: true,
             was_cut_off: false,
             was_leader: false,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Takes one input and returns what is to be done, in order.
+    /// Handles one input and returns the actions to carry out, in order.
     pub fn handle(
         &mut self,
         input: ControlInput,
@@ -162,7 +163,7 @@
         wall_unix_ms: u64,
     ) -> Vec<ControlAction> {
         self.now = now;
-        let wall = WallWindow {
+        let wall = ClaimWindow {
             now_unix_ms: wall_unix_ms,
             window_ms: self.claim_window_ms(),
         };
@@ -187,10 +188,10 @@
             ControlInput::Fetched(object) => self.on_fetched(object.as_ref()),
             ControlInput::Change(request) => {
                 let actions = self.config.on_change(request, now);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             ControlInput::Usage(usage) => self.on_usage(usage, now),
-            ControlInput::ServerLeaving(name) => self.note_leaving_server(name, now),
+            ControlInput::ServerLeaving(name) => self.add_leaving_server(name, now),
             ControlInput::Status(ticket) => {
                 let status = Box::new(self.status(now));
                 self.answer(ticket, ControlAnswer::Status(status));
@@ -228,23 +229,23 @@
             .unwrap_or(0)
     }
 
-    fn on_tick(&mut self, now: Moment, wall: &WallWindow) {
+    fn on_tick(&mut self, now: Moment, wall: &ClaimWindow) {
         let config = self.config.tick(now);
-        self.run_config(config);
+        self.run_config_actions(config);
         self.tick_planner(now);
         let claims = self.claims.tick(now, wall);
-        self.run_claims(claims);
-        self.expire_owner_claims(now);
+        self.run_claim_actions(claims);
+        self.expire_forwarded_claims(now);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now.plus(membership::HEARTBEAT_MS);
+            self.next_heartbeat = now.plus(membership::HEARTBEAT_INTERVAL_MS);
             self.send_heartbeats(now);
         }
         if now >= self.next_report {
-            self.next_report = now.plus(REPORT_MS);
+            self.next_report = now.plus(REPORT_INTERVAL_MS);
             self.send_report(now);
         }
         if now >= self.next_hosts {
-            self.next_hosts = now.plus(self.hosts_period_ms());
+            self.next_hosts = now.plus(self.hosts_interval_ms());
             self.actions.push(ControlAction::Platform(
                 CallPurpose::Hosts,
                 PlatformCall::Hosts,
@@ -255,11 +256,11 @@
         self.check_stop(now);
     }
 
-    fn hosts_period_ms(&self) -> u64 {
+    fn hosts_interval_ms(&self) -> u64 {
         if self.planner.is_leader() || self.is_hall_watcher() {
-            HOSTS_MS
+            HOSTS_INTERVAL_MS
         } else {
-            HOSTS_IDLE_MS
+            HOSTS_IDLE_INTERVAL_MS
         }
     }
 
@@ -273,23 +274,24 @@
             rank: self.planner_rank(now),
         };
         let action = self.planner.tick(&view, now);
-        self.run_planner(action);
+        self.run_planner_action(action);
     }
 
-    /// Candidates are ordered by a hash of their names; a leaving or cut off host is none.
+    /// The host's rank among the candidates, which are ordered by a hash of their names; `None` if
+    /// it is leaving or cut off.
     fn planner_rank(&self, now: Moment) -> Option<u64> {
         if self.is_leaving() || self.membership.is_cut_off(now) {
             return None;
         }
         let own = claims::rendezvous_weight(0, &self.membership.me().identity.name);
-        let offered = self.membership.offered();
-        let ahead = offered
+        let advertised = self.membership.advertised();
+        let ahead = advertised
             .iter()
             .filter(|record| claims::rendezvous_weight(0, &record.identity.name) > own);
         Some(ahead.count() as u64)
     }
 
-    fn run_planner(&mut self, action: Option<PlannerAction>) {
+    fn run_planner_action(&mut self, action: Option<PlannerAction>) {
         let call = match action {
             None => return,
             Some(PlannerAction::Read) => PlatformCall::Read(ObjectName::plan()),
@@ -333,7 +335,7 @@
             self.event(code, String::new());
         }
         if self.membership.take_changed() {
-            for (code, detail) in self.membership.take_news() {
+            for (code, detail) in self.membership.take_events() {
                 self.event(code, detail);
             }
             self.push_lookup();
--- a/src/controller/platform.rs
+++ b/src/controller/platform.rs
@@ -1,9 +1,9 @@
-//! What comes from the platform: replies, the watch, the host list.
+//! Handles messages of the platform: replies, the watch and the host list.
 
 use std::net;
 
-use super::{HostController, WATCH_RETRY_MS};
-use crate::claim_role::WallWindow;
+use super::{HostController, WATCH_RETRY_DELAY_MS};
+use crate::claim_role::ClaimWindow;
 use crate::config_object::ConfigObject;
 use crate::control_message::{CallPurpose, ControlAction};
 use crate::event::EventCode;
@@ -21,30 +21,30 @@
         purpose: CallPurpose,
         reply: PlatformReply,
         now: Moment,
-        wall: &WallWindow,
+        wall: &ClaimWindow,
     ) {
-        self.note_platform(&reply);
+        self.update_platform_state(&reply);
         match (purpose, reply) {
             (CallPurpose::Config, PlatformReply::Read(result)) => {
                 let actions = self.config.on_read(&result, now);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             (CallPurpose::Config, PlatformReply::Write(result)) => {
                 let actions = self.config.on_write(result, now);
-                self.run_config(actions);
+                self.run_config_actions(actions);
             }
             (CallPurpose::Plan, PlatformReply::Read(result)) => self.on_plan_read(&result, now),
             (CallPurpose::Plan, PlatformReply::Write(result)) => {
                 let action = self.planner.on_write(result, now);
-                self.run_planner(action);
+                self.run_planner_action(action);
             }
             (CallPurpose::Claim(shard), PlatformReply::Read(result)) => {
                 let actions = self.claims.on_read(shard, &result, now, wall);
-                self.run_claims(actions);
+                self.run_claim_actions(actions);
             }
             (CallPurpose::Claim(shard), PlatformReply::Write(result)) => {
                 let actions = self.claims.on_write(shard, result, now, wall);
-                self.run_claims(actions);
+                self.run_claim_actions(actions);
             }
             (CallPurpose::Watch, PlatformReply::Watch(result)) => self.on_watch(result, now),
             (CallPurpose::Hosts, PlatformReply::Hosts(Some(list))) => {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn note_platform(&mut self, reply: &PlatformReply) {
+    pub(super) fn update_platform_state(&mut self, reply: &PlatformReply) {
         let failed = matches!(
             reply,
             PlatformReply::Read(ReadResult::Failed)
@@ -85,10 +85,11 @@
             rank: self.planner_rank(now),
         };
         let action = self.planner.on_read(result, &view, now);
-        self.run_planner(action);
+        self.run_planner_action(action);
     }
 
-    /// One host of each hall watches for the others, so that watches grow with halls.
+    /// Starts a watch if this host is the watcher of its hall. One host of each hall watches, so
+    /// that the number of watches grows with halls and not with hosts.
     pub(super) fn start_watch(&mut self, now: Moment) {
         if self.watch.running || now < self.watch.retry_at || !self.is_hall_watcher() {
             return;
@@ -104,8 +105,8 @@
 
     pub(super) fn is_hall_watcher(&self) -> bool {
         let me = self.membership.me();
-        let offered = self.membership.offered();
-        let first = offered
+        let advertised = self.membership.advertised();
+        let first = advertised
             .iter()
             .filter(|record| record.hall == me.hall && record.state == HostState::Live)
             .map(|record| &record.identity.name)
@@ -116,7 +117,7 @@
     pub(super) fn on_watch(&mut self, result: Option<WatchReply>, now: Moment) {
         self.watch.running = false;
         let Some(reply) = result else {
-            self.watch.retry_at = now.plus(WATCH_RETRY_MS);
+            self.watch.retry_at = now.plus(WATCH_RETRY_DELAY_MS);
             return;
         };
         self.watch.revision = reply.revision;
@@ -140,8 +141,8 @@
     pub(super) fn offer_config(&mut self, value: &serde_json::Value) {
         match ConfigObject::from_bytes(value.to_string().as_bytes()) {
             Ok(object) => {
-                let actions = self.config.on_offer(&object);
-                self.run_config(actions);
+                let actions = self.config.on_received(&object);
+                self.run_config_actions(actions);
             }
             Err(fault) => self.event(EventCode::ConfigRejected, fault.to_string()),
         }
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -1,12 +1,12 @@
-//! The planner role: one entry host at a time splits the budgets.
+//! The planner role: one entry host at a time splits the budgets over the hosts.
 //!
-//! Who plans is decided by the plan object itself: every write is conditional on its version and
-//! raises its sequence, which serves as the heartbeat of the lease. A planner that wakes late
-//! fails its next write and steps down. Grants are published only after the write that made them
-//! is known to have taken effect.
+//! The plan object itself decides which host plans. Every write is conditional on the object's
+//! version and increases its sequence, which renews the lease. A planner that was suspended past
+//! its lease fails its next write and steps down. Grants are published only after the write that
+//! contains them is known to be stored.
 //!
 //! Memory: one budget for each place with one entry for each host that holds units, and one report
-//! for each host heard in the last [`REPORT_LIFE_MS`].
+//! for each host that reported within [`REPORT_MAX_AGE_MS`].
 
 mod draft;
 
@@ -14,35 +14,35 @@
 
 use crate::{budget, member, plan, platform_call, ramp, report, roster, timer, topology};
 
-/// A follower takes over when the sequence has stood still for this long.
+/// A follower takes over if the sequence has not changed for this long.
 pub const LEASE_MS: u64 = 4_000;
-/// Each further candidate in the order waits this much longer.
-const CANDIDATE_STEP_MS: u64 = 1_000;
-/// The planner writes at least this often, which renews its lease.
-const RENEW_MS: u64 = 1_000;
-/// Time between two looks at loads.
-const REBALANCE_MS: u64 = 500;
-/// A host whose last report is older takes part in no new grants.
-pub const REPORT_LIFE_MS: u64 = 3_000;
-/// How long a load counts after it was reported.
-const LOAD_LIFE_MS: u64 = 5_000;
-/// Units move when a host's target lies above its grant by this part of it, and by one at least.
+/// Additional wait of each further candidate, by rank.
+const CANDIDATE_DELAY_MS: u64 = 1_000;
+/// The planner writes at least this often to renew its lease.
+const RENEW_INTERVAL_MS: u64 = 1_000;
+/// Interval of rebalancing.
+const REBALANCE_INTERVAL_MS: u64 = 500;
+/// A host whose last report is older gets no new grants.
+pub const REPORT_MAX_AGE_MS: u64 = 3_000;
+/// A reported load expires after this long.
+const LOAD_MAX_AGE_MS: u64 = 5_000;
+/// Units move if a host's target exceeds its grant by more than this fraction of the grant.
 const MOVE_DIVISOR: u32 = 8;
-/// One part in so many of a load's average is replaced by each report: about four seconds.
+/// Each report replaces this fraction of the average load: about four seconds.
 const AVERAGE_DIVISOR: u64 = 8;
 
-/// What the planner knows of the world at a tick.
+/// The planner's inputs at a tick.
 #[derive(Debug)]
 pub struct PlannerView<'v> {
-    /// The configuration in force here.
+    /// The configuration that is active on this host.
     pub topology: &'v topology::SteeringTopology,
     /// The platform's host list.
     pub roster: &'v roster::HostRoster,
-    /// This host's place in the order of candidates, 0 first; `None` when it may not plan.
+    /// This host's rank among the candidates, from 0; `None` if it must not plan.
     pub rank: Option<u64>,
 }
 
-/// A call that the role wants made to the platform.
+/// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannerAction {
     /// Read the plan object.
@@ -51,7 +51,7 @@
     Write {
         /// The new content.
         bytes: Vec<u8>,
-        /// The version to replace; `None` when there must be no object.
+        /// The version to replace; `None` if no object may exist.
         expected: Option<u64>,
     },
 }
@@ -59,13 +59,13 @@
 #[derive(Debug)]
 struct StoredReport {
     report: report::HostReport,
-    heard: timer::Moment,
+    received_at: timer::Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct LoadEntry {
     milli: u32,
-    heard: timer::Moment,
+    received_at: timer::Moment,
 }
 
 #[derive(Debug)]
@@ -85,7 +85,7 @@
         draft: Box<plan::SteeringPlan>,
         leader: Option<Box<LeaderState>>,
     },
-    /// A write's answer was lost; the object is being read back.
+    /// The answer to a write was lost; the object is being read back.
     Checking {
         draft: Box<plan::SteeringPlan>,
         leader: Option<Box<LeaderState>>,
@@ -108,7 +108,7 @@
 }
 
 impl PlannerRole {
-    /// A follower that has seen nothing yet.
+    /// A follower without a known plan.
     #[must_use]
     pub fn new(me: member::HostIdentity, now: timer::Moment) -> Self {
         Self {
@@ -124,25 +124,25 @@
         }
     }
 
-    /// The planner as far as this host knows.
+    /// The current planner, as far as this host knows.
     #[must_use]
     pub const fn holder(&self) -> Option<&member::HostIdentity> {
         self.seen_holder.as_ref()
     }
 
-    /// The newest plan sequence known.
+    /// The newest known plan sequence.
     #[must_use]
     pub const fn sequence(&self) -> u64 {
         self.seen_sequence
     }
 
-    /// Whether this host plans.
+    /// Whether this host is the planner.
     #[must_use]
     pub const fn is_leader(&self) -> bool {
         self.committed().is_some()
     }
 
-    /// The plan last known to be stored, on the planner only.
+    /// The last plan that is known to be stored; only on the planner.
     #[must_use]
     pub const fn committed(&self) -> Option<&plan::SteeringPlan> {
         match &self.state {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Learns from anywhere that `holder` wrote plan `sequence`.
+    /// Records that `holder` wrote plan `sequence`, whatever the source of this information.
     pub fn observe(&mut self, sequence: u64, holder: &member::HostIdentity, now: timer::Moment) {
         if sequence > self.seen_sequence {
             self.seen_sequence = sequence;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Takes a host's report; the planner answers with the host's grants.
+    /// Records a host's report. The planner returns the host's grants.
     pub fn on_report(
         &mut self,
         report: report::HostReport,
@@ -184,29 +184,34 @@
             return Some(grants);
         }
         for usage in &report.usage {
-            self.note_usage(&name, usage, now);
+            self.record_usage(&name, usage, now);
         }
-        self.reports
-            .insert(name, StoredReport { report, heard: now });
+        self.reports.insert(
+            name,
+            StoredReport {
+                report,
+                received_at: now,
+            },
+        );
         Some(grants)
     }
 
-    fn note_usage(&mut self, host: &str, usage: &report::PlaceUsage, now: timer::Moment) {
+    fn record_usage(&mut self, host: &str, usage: &report::PlaceUsage, now: timer::Moment) {
         let counts = self.evidence.entry(usage.key.clone()).or_default();
         counts.0 = counts.0.saturating_add(u64::from(usage.completed));
         counts.1 = counts.1.saturating_add(u64::from(usage.refused));
         let entry = self.loads.entry((host.to_owned(), usage.key.clone()));
         let load = entry.or_insert(LoadEntry {
             milli: usage.load_milli,
-            heard: now,
+            received_at: now,
         });
-        load.milli = averaged(load.milli, usage.load_milli);
-        load.heard = now;
+        load.milli = average_load(load.milli, usage.load_milli);
+        load.received_at = now;
     }
 
-    /// Lets time pass.
+    /// Expires old reports and returns the next call to the platform, if one is due.
     pub fn tick(&mut self, view: &PlannerView<'_>, now: timer::Moment) -> Option<PlannerAction> {
-        self.forget_old(now);
+        self.expire_reports(now);
         if let PlannerState::Leader(_) = self.state {
             return self.tick_leader(view, now);
         }
@@ -216,11 +221,11 @@
         None
     }
 
-    fn forget_old(&mut self, now: timer::Moment) {
+    fn expire_reports(&mut self, now: timer::Moment) {
         self.reports
-            .retain(|_, stored| now.since(stored.heard) <= REPORT_LIFE_MS);
+            .retain(|_, stored| now.since(stored.received_at) <= REPORT_MAX_AGE_MS);
         self.loads
-            .retain(|_, load| now.since(load.heard) <= LOAD_LIFE_MS);
+            .retain(|_, load| now.since(load.received_at) <= LOAD_MAX_AGE_MS);
     }
 
     fn tick_follower(
@@ -228,9 +233,9 @@
         view: &PlannerView<'_>,
         now: timer::Moment,
     ) -> Option<PlannerAction> {
-        let patience = LEASE_MS + view.rank? * CANDIDATE_STEP_MS;
-        let fresh = self.seen_sequence > 0 && now.since(self.seen_at) < patience;
-        if fresh || now < self.retry_at {
+        let timeout_ms = LEASE_MS + view.rank? * CANDIDATE_DELAY_MS;
+        let lease_active = self.seen_sequence > 0 && now.since(self.seen_at) < timeout_ms;
+        if lease_active || now < self.retry_at {
             return None;
         }
         self.state = PlannerState::Reading;
@@ -241,12 +246,12 @@
         let PlannerState::Leader(leader) = &mut self.state else {
             return None;
         };
-        if view.rank.is_none() && now.since(leader.last_write) >= RENEW_MS {
+        if view.rank.is_none() && now.since(leader.last_write) >= RENEW_INTERVAL_MS {
             self.state = PlannerState::Follower;
             self.retry_at = now.plus(LEASE_MS);
             return None;
         }
-        if now.since(leader.last_rebalance) < REBALANCE_MS {
+        if now.since(leader.last_rebalance) < REBALANCE_INTERVAL_MS {
             return None;
         }
         leader.last_rebalance = now;
@@ -262,7 +267,7 @@
         let changed = draft.budgets != leader.committed.budgets
             || draft.hosts != leader.committed.hosts
             || draft.generation != leader.committed.generation;
-        if !changed && now.since(leader.last_write) < RENEW_MS {
+        if !changed && now.since(leader.last_write) < RENEW_INTERVAL_MS {
             return None;
         }
         let Ok(bytes) = draft.to_bytes() else {
@@ -282,7 +287,7 @@
         Some(PlannerAction::Write { bytes, expected })
     }
 
-    /// The plan object was read, after a read that this role asked for.
+    /// Handles the result of a read of the plan object.
     pub fn on_read(
         &mut self,
         result: &platform_call::ReadResult,
@@ -290,7 +295,7 @@
         now: timer::Moment,
     ) -> Option<PlannerAction> {
         match std::mem::replace(&mut self.state, PlannerState::Follower) {
-            PlannerState::Reading => self.take_over(result, view, now),
+            PlannerState::Reading => self.take_leadership(result, view, now),
             PlannerState::Checking { draft, leader } => {
                 self.check_write(result, draft, leader, now)
             }
@@ -301,13 +306,13 @@
         }
     }
 
-    fn take_over(
+    fn take_leadership(
         &mut self,
         result: &platform_call::ReadResult,
         view: &PlannerView<'_>,
         now: timer::Moment,
     ) -> Option<PlannerAction> {
-        self.retry_at = now.plus(RENEW_MS);
+        self.retry_at = now.plus(RENEW_INTERVAL_MS);
         let (before, expected) = match result {
             platform_call::ReadResult::Found { bytes, version } => (
                 Some(plan::SteeringPlan::from_bytes(bytes).ok()?),
@@ -342,7 +347,7 @@
         Some(PlannerAction::Write { bytes, expected })
     }
 
-    /// A write that this role asked for has ended.
+    /// Handles the result of a write.
     pub fn on_write(
         &mut self,
         result: platform_call::WriteResult,
@@ -369,7 +374,7 @@
         }
     }
 
-    /// Decides by the object itself whether a write whose answer was lost took effect.
+    /// Reads from the stored object whether a write whose answer was lost took effect.
     fn check_write(
         &mut self,
         result: &platform_call::ReadResult,
@@ -405,7 +410,7 @@
         now: timer::Moment,
     ) {
         self.observe(draft.sequence, &self.me.clone(), now);
-        let mut leader = leader.unwrap_or_else(|| Box::new(fresh_leader(&draft, now)));
+        let mut leader = leader.unwrap_or_else(|| Box::new(new_leader_state(&draft, now)));
         leader.committed = draft;
         leader.version = version;
         leader.last_write = now;
@@ -413,15 +418,16 @@
     }
 }
 
-/// The average load after one more report. It is slow on purpose: units on their way from one host to
-/// another are nobody's, so a split that follows every fluctuation wastes what it moves.
-fn averaged(before: u32, report: u32) -> u32 {
+/// The average load after one more report. It changes slowly on purpose: units that move from one
+/// host to another are usable by neither, so a split that follows every fluctuation wastes them.
+fn average_load(before: u32, report: u32) -> u32 {
     let sum = u64::from(before) * (AVERAGE_DIVISOR - 1) + u64::from(report);
     u32::try_from(sum / AVERAGE_DIVISOR).unwrap_or(u32::MAX)
 }
 
-/// A new planner takes the ramps up where the plan has them and grows nothing for a whole step.
-fn fresh_leader(draft: &plan::SteeringPlan, now: timer::Moment) -> LeaderState {
+/// The state of a new planner. It continues the ramps at the plan's limits and grows none of them
+/// for a whole step.
+fn new_leader_state(draft: &plan::SteeringPlan, now: timer::Moment) -> LeaderState {
     let routes = draft
         .budgets
         .iter()
--- a/src/steering/attempts.rs
+++ b/src/steering/attempts.rs
@@ -1,25 +1,25 @@
-//! Attempts at a server: how they end, and whether another server gets the request.
+//! Records the results of attempts at backend servers and selects another server for a retry.
 
 use super::{
-    AttemptResult, ChosenServer, RequestAdmission, SteeringPolicy, SteeringRole, choice, placing,
+    AttemptResult, ChosenServer, RequestAdmission, SteeringPolicy, SteeringRole, choice, placement,
 };
-use crate::health::LoadClaim;
+use crate::health::ReportedLoad;
 use crate::retry::RetryBudget;
 use crate::timer;
 
-/// Attempts of the naive baseline.
+/// Attempts for each request under the naive policy.
 const NAIVE_ATTEMPTS: u32 = 3;
 
 impl SteeringRole {
-    /// Another server of the same place for an attempt that failed, if the retry budget and the
-    /// deadline allow one. `proved_unrun` says that the first attempt did not run.
+    /// Selects another server of the same place after a failed attempt, if the retry budget and the
+    /// deadline allow it. `proved_not_run` states that the failed attempt was certainly not run.
     pub fn retry(
         &mut self,
         admission: &mut RequestAdmission,
-        proved_unrun: bool,
+        proved_not_run: bool,
         now: timer::Moment,
     ) -> bool {
-        if !(admission.repeatable || proved_unrun) || now >= admission.deadline {
+        if !(admission.repeatable || proved_not_run) || now >= admission.deadline {
             return false;
         }
         let Some(server) = self.other_server(admission, now) else {
@@ -38,7 +38,7 @@
         admission.attempts += 1;
         admission.server = server;
         if let Some(health) = self.servers.get_mut(server.slot) {
-            health.begin();
+            health.start_request();
         }
         true
     }
@@ -53,37 +53,37 @@
             .values()
             .find(|service| service.id == admission.service)?;
         if self.policy == SteeringPolicy::Naive {
-            return choice::next_in_turn(service, &mut self.turn);
+            return choice::next_round_robin(service, &mut self.round_robin);
         }
-        let mut places = service.near.iter().chain(&service.far);
+        let mut places = service.local.iter().chain(&service.remote);
         let place = places.find(|place| place.place == admission.place)?;
         let avoid = Some(admission.server.slot);
-        choice::pick_server(
-            &placing::view_of(&self.servers, &self.units, place, avoid, now),
+        choice::select_server(
+            &placement::choice_view(&self.servers, &self.units, place, avoid, now),
             &mut self.random,
         )
     }
 
-    /// An attempt at the admission's server ended; its place is kept until [`Self::finish`].
+    /// Records the end of an attempt. The admission keeps its units until [`Self::finish`].
     pub fn end_attempt(
         &mut self,
         admission: &RequestAdmission,
         result: AttemptResult,
-        claimed_load: Option<u32>,
+        reported_load: Option<u32>,
         now: timer::Moment,
     ) {
-        self.note_answer(admission, result, claimed_load, now);
+        self.record_answer(admission, result, reported_load, now);
         if let Some(health) = self.servers.get_mut(admission.server.slot) {
-            health.end();
+            health.finish_request();
         }
     }
 
-    /// The head of an answer came, or it is known that none will; the attempt itself goes on.
-    pub fn note_answer(
+    /// Records that the head of an answer arrived, or that none will. The attempt itself continues.
+    pub fn record_answer(
         &mut self,
         admission: &RequestAdmission,
         result: AttemptResult,
-        claimed_load: Option<u32>,
+        reported_load: Option<u32>,
         now: timer::Moment,
     ) {
         let answer_ms = now.since(admission.started);
@@ -93,32 +93,32 @@
                 AttemptResult::Failure => health.on_failure(now),
                 AttemptResult::Shed | AttemptResult::Abandoned => {}
             }
-            if let Some(in_use) = claimed_load {
-                health.on_claim(LoadClaim { in_use, at: now });
+            if let Some(in_use) = reported_load {
+                health.on_reported_load(ReportedLoad { in_use, at: now });
             }
         }
         if result == AttemptResult::Success {
-            self.note_success(admission, answer_ms as f64);
+            self.record_success(admission, answer_ms as f64);
         }
     }
 
-    fn note_success(&mut self, admission: &RequestAdmission, answer_ms: f64) {
+    fn record_success(&mut self, admission: &RequestAdmission, answer_ms: f64) {
         if let Some(retry) = self.retries.get_mut(admission.retry) {
             retry.on_success();
         }
         if let Some(counter) = self.units.get_mut(admission.place) {
-            counter.note_answer(answer_ms);
+            counter.record_answer(answer_ms);
         }
         if let Some(estimate) = self.estimates.get_mut(admission.estimate) {
-            estimate.note(answer_ms);
+            estimate.record(answer_ms);
         }
     }
 
-    /// Gives back the units of an admission, however it ended.
+    /// Releases the units of an admission, however the request ended.
     pub fn finish(&mut self, admission: &RequestAdmission) {
         for slot in std::iter::once(admission.place).chain(admission.route) {
             if let Some(counter) = self.units.get_mut(slot) {
-                counter.put_back();
+                counter.release();
                 counter.completed += 1;
             }
         }
--- a/src/steering/waiting.rs
+++ b/src/steering/waiting.rs
@@ -1,59 +1,61 @@
-//! Requests that wait for a unit: placed when one comes free, refused when it comes too late.
+//! Serves the queues: places a waiting request when a unit becomes free, and refuses it when its
+//! deadline can't be met any more.
 
 use std::collections;
 
-use super::placing::{self, PlaceOutcome};
-use super::{SteeringRole, WaitEnd, WaitTicket};
+use super::placement::{self, PlaceOutcome};
+use super::{SteeringRole, WaitOutcome, WaitTicket};
 use crate::timer;
 
-/// Waiting requests that are tried when a unit comes free.
-const TRIED_WAITERS: usize = 8;
+/// After this many waiting requests that can't be placed, the scan of a queue stops.
+const MAX_FAILED_PLACEMENTS: usize = 8;
 
 impl SteeringRole {
-    /// Requests whose waiting has ended, after units came free or time passed.
-    pub fn take_ready(&mut self, now: timer::Moment) -> Vec<WaitEnd> {
+    /// Returns the requests whose wait ended, after units became free or time passed.
+    pub fn take_ready(&mut self, now: timer::Moment) -> Vec<WaitOutcome> {
         let names: Vec<String> = self
-            .lines
+            .queues
             .iter()
-            .filter(|(_, line)| line.len() > 0)
+            .filter(|(_, queue)| queue.len() > 0)
             .map(|(name, _)| name.clone())
             .collect();
-        let mut ends = Vec::new();
+        let mut outcomes = Vec::new();
         for name in names {
-            self.refuse_late(&name, now, &mut ends);
-            self.place_waiting(&name, now, &mut ends);
+            self.refuse_late(&name, now, &mut outcomes);
+            self.place_waiting(&name, now, &mut outcomes);
         }
-        ends
+        outcomes
     }
 
-    /// Waiting requests that can't be answered in time any more get that answer now.
-    fn refuse_late(&mut self, name: &str, now: timer::Moment, ends: &mut Vec<WaitEnd>) {
-        let Some(mut line) = self.lines.remove(name) else {
+    /// Refuses waiting requests that can't be answered in time any more.
+    fn refuse_late(&mut self, name: &str, now: timer::Moment, outcomes: &mut Vec<WaitOutcome>) {
+        let Some(mut queue) = self.queues.remove(name) else {
             return;
         };
         let late = match self.services.get(name) {
-            Some(service) => line.take_late(|entry| {
+            Some(service) => queue.take_late(|entry| {
                 service
                     .classes
                     .get(entry.class)
                     .is_none_or(|class| self.is_too_late(class, entry, now))
             }),
-            None => line.take_late(|_| true),
+            None => queue.take_late(|_| true),
         };
-        ends.extend(late.into_iter().map(|entry| WaitEnd {
+        outcomes.extend(late.into_iter().map(|entry| WaitOutcome {
             ticket: entry.ticket,
-            result: Err(placing::too_late()),
+            result: Err(placement::deadline_refusal()),
         }));
-        self.lines.insert(name.to_owned(), line);
+        self.queues.insert(name.to_owned(), queue);
     }
 
-    fn place_waiting(&mut self, name: &str, now: timer::Moment, ends: &mut Vec<WaitEnd>) {
+    fn place_waiting(&mut self, name: &str, now: timer::Moment, outcomes: &mut Vec<WaitOutcome>) {
         let mut failed = 0;
         let mut tried = collections::HashSet::new();
-        while failed < TRIED_WAITERS {
-            let line = self.lines.get(name);
-            let Some(entry) = line.and_then(|line| {
-                line.iter()
+        while failed < MAX_FAILED_PLACEMENTS {
+            let queue = self.queues.get(name);
+            let Some(entry) = queue.and_then(|queue| {
+                queue
+                    .iter()
                     .find(|entry| !tried.contains(&entry.ticket))
                     .copied()
             }) else {
@@ -65,17 +67,17 @@
                 continue;
             };
             self.cancel_wait(entry.ticket);
-            ends.push(WaitEnd {
+            outcomes.push(WaitOutcome {
                 ticket: entry.ticket,
                 result: Ok(admission),
             });
         }
     }
 
-    /// The caller of a waiting request has gone away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn cancel_wait(&mut self, ticket: WaitTicket) {
-        for line in self.lines.values_mut() {
-            if line.remove(ticket) {
+        for queue in self.queues.values_mut() {
+            if queue.remove(ticket) {
                 return;
             }
         }
--- a/src/worker/held.rs
+++ b/src/worker/admitted.rs
@@ -1,4 +1,4 @@
-//! An admitted request: what it holds, and that it gives all of it back however it ends.
+//! An admitted request and the resources that it holds: units, a claim and a running attempt.
 
 use super::claiming::GrantedClaim;
 use super::incoming::CallerRequest;
@@ -7,21 +7,21 @@
 use crate::steering::{AttemptResult, RequestAdmission};
 use crate::timer::Moment;
 
-/// An admitted request. Dropping it gives its units back, and its claim if it was never sent.
-pub(super) struct HeldRequest {
+/// An admitted request. Dropping it releases its units, and also its claim if nothing was sent.
+pub(super) struct AdmittedRequest {
     pub(super) admission: RequestAdmission,
     pub(super) service: String,
     pub(super) class: String,
     pub(super) arrived: Moment,
     pub(super) claim: Option<GrantedClaim>,
-    /// Whether an attempt at the present server is under way.
+    /// Whether an attempt at the current server is running.
     pub(super) attempting: bool,
-    /// Whether anything may have reached a server.
+    /// Whether the request may have reached a server.
     pub(super) sent: bool,
     pub(super) finished: bool,
 }
 
-impl HeldRequest {
+impl AdmittedRequest {
     pub(super) fn new(admission: RequestAdmission, request: &CallerRequest) -> Self {
         Self {
             admission,
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(super) fn end_attempt(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
+    pub(super) fn end_attempt(&mut self, result: AttemptResult, reported_load: Option<u32>) {
         if !std::mem::take(&mut self.attempting) {
             return;
         }
@@ -43,17 +43,17 @@
             let now = worker.now();
             worker
                 .steering
-                .end_attempt(&self.admission, result, claimed_load, now);
+                .end_attempt(&self.admission, result, reported_load, now);
         });
     }
 
-    /// Another server, if the retry budget allows one.
-    pub(super) fn retry(&mut self, proved_unrun: bool) -> bool {
+    /// Selects another server if the retry budget allows it.
+    pub(super) fn retry(&mut self, proved_not_run: bool) -> bool {
         let retried = with_worker(|worker| {
             let now = worker.now();
             worker
                 .steering
-                .retry(&mut self.admission, proved_unrun, now)
+                .retry(&mut self.admission, proved_not_run, now)
         });
         self.attempting = retried == Some(true);
         self.attempting
@@ -62,7 +62,7 @@
     pub(super) fn settle(&mut self, status: Option<u16>) {
         if let Some(claim) = self.claim.take() {
             with_worker(|worker| {
-                // An outcome that finds the ring full leaves the claim pending, which is safe.
+                // If the ring is full, the claim stays pending, which is safe.
                 let _taken =
                     worker
                         .control
@@ -71,25 +71,25 @@
         }
     }
 
-    /// The head of an answer came; the server stays occupied until the body has ended.
-    pub(super) fn answered(&mut self, result: AttemptResult, claimed_load: Option<u32>) {
+    /// Records that the head of an answer arrived. The server stays occupied until the body ends.
+    pub(super) fn record_answer(&mut self, result: AttemptResult, reported_load: Option<u32>) {
         with_worker(|worker| {
             let now = worker.now();
             worker
                 .steering
-                .note_answer(&self.admission, result, claimed_load, now);
+                .record_answer(&self.admission, result, reported_load, now);
         });
     }
 }
 
-impl Drop for HeldRequest {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         self.end_attempt(AttemptResult::Abandoned, None);
         if !self.sent {
             self.settle(None);
         }
         if !std::mem::replace(&mut self.finished, true) {
-            with_worker(|worker| worker.give_back(&self.admission));
+            with_worker(|worker| worker.release(&self.admission));
         }
     }
 }
