--- a/src/bin/ledgespool-standin/main.rs
+++ b/src/bin/ledgespool-standin/main.rs
@@ -1,4 +1,4 @@
-//! `ledgespool-standin`: the project's own stand-ins and load. Thin: everything is in the library.
+//! `ledgespool-standin` runs the stand-ins and the load generator. The library contains all logic.
 
 mod app;
 
@@ -53,7 +53,7 @@
                 requests,
                 seed,
                 from,
-                come_back: true,
+                retry: true,
             };
             drive(&plan, json)?;
         }
@@ -70,14 +70,14 @@
                 .filter_map(|header| header.split_once('='))
                 .map(|(name, value)| (name.to_owned(), value.to_owned()))
                 .collect();
-            let limit = std::time::Duration::from_secs(seconds);
+            let duration = std::time::Duration::from_secs(seconds);
             let figures = repeat::run(&repeat::RepeatPlan {
                 to,
                 path,
                 headers,
                 callers,
                 threads,
-                limit,
+                duration,
             })?;
             println!("{}", serde_json::to_string(&figures).unwrap_or_default());
         }
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Prints the addresses, one a line, and serves until the process is ended.
+/// Prints the addresses, one a line, and serves until the process is killed.
 fn serve(standins: Vec<standin::RunningStandin>) {
     for standin in &standins {
         println!("listening {}", standin.address());
--- a/tests/promise_drain.rs
+++ b/tests/promise_drain.rs
@@ -296,7 +296,7 @@
         let mut found = false;
         for host in &system.hosts {
             let answer =
-                ledgespool::standin::caller::ask(host.callers, common::SERVICE, None).await;
+                ledgespool::standin::caller::look_up_at(host.callers, common::SERVICE, None).await;
             found |=
                 answer.is_none_or(|answer| answer.hosts.iter().any(|host| host.name == "entry-2"));
         }
