--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -1,7 +1,8 @@
-//! What a host does for others that start, and for requests that come before it can serve itself.
+//! The host's side of joining: answers join requests from hosts that are starting, and holds back
+//! callers' requests until this host can serve.
 //!
-//! Who is asked answers when it knows something itself, or names another host; [`super::join_role`]
-//! decides which. How a host asks stands in [`super::join_asking`].
+//! [`super::join_role`] decides whether a join request gets a snapshot or a redirect to another
+//! host. [`super::join_asking`] is the requesting side.
 
 use std::{cell, time};
 
@@ -21,35 +22,35 @@
 use crate::event::EventCode;
 use crate::timer::Moment;
 
-/// Where a host that starts asks others.
+/// Path of join requests.
 pub(super) const JOIN_PATH: &str = "/join";
-/// A host that knows nothing yet keeps a question this long: about what the first needs to
-/// read everything from the store. Then the asking host looks elsewhere.
+/// How long a host that is not ready holds a join request: about the time that the first host needs
+/// to read everything from the store. After that the requester tries another host.
 const PARK_LIMIT: time::Duration = time::Duration::from_millis(800);
-/// The largest question, in bytes.
+/// The largest join request, in bytes.
 const MAX_QUESTION_BYTES: usize = 4 * 1024;
-/// What was written for one host is sent to others for this long, in milliseconds.
+/// How long an encoded snapshot is reused for other requesters, in milliseconds.
 const WRITTEN_VALID_MS: u64 = 100;
-/// A request that comes before this host can serve waits this long for that, in milliseconds: an eighth
-/// of the shortest goals in use, so that an answer is still in time.
+/// How long a request that arrives before this host can serve waits for that, in milliseconds: an
+/// eighth of the shortest goal in use, so that the answer can still be in time.
 const WAIT_MS: u64 = 250;
-/// Requests wait only so shortly after the start, in milliseconds; a host that has learned nothing
-/// by then has nobody to learn from.
+/// Requests wait only in this period after the start, in milliseconds. A host that has received
+/// nothing by then has no source to receive it from.
 const STARTING_MS: u64 = 2_000;
 
-/// What a host holds for joining, and for those who join.
+/// State for joining and for serving other hosts' join requests.
 #[derive(Debug, Default)]
 pub struct JoinState {
     role: cell::RefCell<JoinRole>,
     parked: cell::RefCell<ParkedQuestions<oneshot::Sender<JoinDecision>>>,
     written: cell::RefCell<Option<WrittenSnapshot>>,
-    /// Whether another host is reached that gives this one what it needs.
+    /// Whether this host is connected to a host that may send it a snapshot.
     pub(super) contact: cell::Cell<bool>,
-    /// Hosts that were met and that others are still to be told of.
+    /// Newly discovered hosts that have not yet been announced to the others.
     met: cell::RefCell<Vec<HostRecord>>,
-    /// Whether a host that said that it can serve is being asked.
+    /// Whether a join request to a host that advertised itself as ready is in flight.
     pub(super) asks_heard: cell::Cell<bool>,
-    /// Whether others were told that this host is among the first to serve.
+    /// Whether this host was announced as one of the first that can serve.
     announced: cell::Cell<bool>,
     /// Whether this host was ever able to serve.
     pub(super) complete: cell::Cell<bool>,
@@ -57,23 +58,23 @@
 }
 
 impl JoinState {
-    /// Whether another host was reached that gives, or gave, this one what it needs.
+    /// Whether this host has reached another one that sends, or sent, it a snapshot.
     pub(super) const fn has_contact(&self) -> bool {
         self.contact.get()
     }
 
-    /// Others are to be told of this run of a host.
+    /// Queues this run of a host for announcement to the others.
     pub(super) fn on_met(&self, record: HostRecord) {
         self.met.borrow_mut().push(record);
     }
 
-    /// Others are told; returns whether they were not before.
+    /// Marks this host as announced; returns whether it was not announced before.
     pub(super) fn on_announced(&self) -> bool {
         !self.announced.replace(true)
     }
 }
 
-/// A snapshot as it is sent, for as long as nothing in it has changed.
+/// An encoded snapshot, valid as long as its content has not changed.
 #[derive(Debug)]
 struct WrittenSnapshot {
     state: SnapshotState,
@@ -81,7 +82,7 @@
     bytes: Bytes,
 }
 
-/// What tells one snapshot from another, but for entry hosts that were met.
+/// Identifies the content of a snapshot, except for newly discovered entry hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SnapshotState {
     configuration_version: u64,
@@ -92,7 +93,8 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Something was learned: if this host can serve now, those who wait for that go on.
+    /// Called after new state was received: if this host can serve now, resumes waiting requests
+    /// and answers pending join requests.
     pub(super) fn on_learned(&self, source: &str) {
         if !self.is_ready() {
             return;
@@ -109,23 +111,23 @@
         }
         let parked = self.join.parked.borrow_mut().take();
         for (question, asker) in parked {
-            // An asker that has given up asks again.
+            // A requester that has given up sends its request again.
             let _gone = asker.send(self.decide_join(&question));
         }
     }
 
-    /// Waits a short while for what this host needs to serve, if it has just started. Without it all
-    /// requests of the first tenths of a second are refused, and callers come back but once or twice.
+    /// Waits a short time until this host can serve, if it has just started. Without the wait, all
+    /// requests in the first tenths of a second are refused, and callers retry only once or twice.
     pub(super) async fn wait_for_knowledge(&self) {
         if self.join.complete.get() || !self.is_starting() {
             return;
         }
         let completed = self.join.completed.notified();
-        // Whether it came is seen where it is needed.
+        // The caller checks readiness itself, so the timeout needs no handling.
         let _elapsed = tokio::time::timeout(time::Duration::from_millis(WAIT_MS), completed).await;
     }
 
-    /// Whether this host has just started and is about to learn what it needs to serve, or has just done.
+    /// Whether this host has just started and cannot serve yet or only just can.
     pub(super) fn is_starting(&self) -> bool {
         !self.is_leaving() && self.now().0 <= STARTING_MS
     }
@@ -138,10 +140,11 @@
         role.decide(question, bytes, link_mbps, now)
     }
 
-    /// All that another host may want to know, as it is sent: written once for many.
+    /// The encoded snapshot of everything that this host knows. It is encoded once for many
+    /// requesters.
     ///
     /// # Errors
-    /// `Malformed` when it cannot be written.
+    /// `Malformed` when it cannot be encoded.
     pub fn written_snapshot(&self) -> Result<Bytes, PeerFormatError> {
         let now = self.now();
         let state = self.snapshot_state();
@@ -153,7 +156,7 @@
             return Ok(written.bytes.clone());
         }
         let snapshot = self.snapshot();
-        // How long those are kept is told as a rest, which shrinks.
+        // The remaining retention of servers is sent as a duration, which shrinks over time.
         let is_fixed = snapshot.kept.is_empty();
         let answer = JoinAnswer::Snapshot(PackedSnapshot::from_snapshot(&snapshot)?);
         let bytes = Bytes::from(peer_message::to_bytes(&answer)?);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Gives memory back that is needed only while others start.
+    /// Frees the encoded snapshot, which is needed only while other hosts start.
     pub(super) fn forget_written_snapshot(&self) {
         let now = self.now();
         let mut written = self.join.written.borrow_mut();
@@ -186,7 +189,7 @@
     }
 }
 
-/// Answers a host that starts; `None` if this one can't, for now.
+/// Answers a join request; `None` if this host cannot answer for now.
 pub(super) async fn answer<W: WireProtocol>(
     host: &EntryHost<W>,
     body: Incoming,
@@ -214,7 +217,8 @@
     }
 }
 
-/// A host that asks is met; the others are told, unless they know this run of it.
+/// Adds the requester to the known hosts, and announces it to the others unless this run of it is
+/// known already.
 fn on_asker<W: WireProtocol>(host: &EntryHost<W>, question: &JoinQuestion) {
     let record = &question.record;
     if host.peers.borrow().run_of(&record.name) < record.run {
@@ -223,7 +227,7 @@
     }
 }
 
-/// Tells others of the hosts that have asked since the last time.
+/// Announces the hosts that have sent join requests since the last call.
 pub(super) fn spread_met<W: WireProtocol>(host: &EntryHost<W>) {
     let met = host.join.met.take();
     host_gossip::spread_hosts(host, &met, &[]);
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_asking.rs
@@ -1,7 +1,8 @@
-//! How a host that starts gets what it needs to serve from other hosts.
+//! The requesting side of joining: gets a snapshot from another host at the start.
 //!
-//! It asks the seed that it reaches first, which is the nearest, then the hosts of its hall that keep an
-//! entry in the store, and any that says that it can serve. Who answers first counts.
+//! The host asks the seed that it connects to first, which is usually the nearest one, then the
+//! registered hosts of its hall, and any host that advertises itself as ready. The first answer is
+//! used.
 
 use std::{net, rc, time};
 
@@ -25,24 +26,27 @@
 use crate::event::EventCode;
 use crate::http_client::{self, ClientSender};
 
-/// The pause between two rounds of asking, in milliseconds; half of it at least. A process that
-/// starts at the same time listens within some ten.
+/// The longest pause between two rounds of join requests, in milliseconds; the shortest is half of
+/// it. A process that starts at the same time listens within about ten milliseconds.
 const ROUND_PAUSE_MS: u64 = 60;
-/// A connection must come up within this time: the farthest regions are 70 ms there and back.
+/// Timeout for opening a connection. The round trip between the most distant regions takes 70 ms.
 const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(400);
-/// An answer must be here within this time: that and the transfer over a slow link.
+/// Timeout for an answer: the time for which the other host holds a request and the transfer over a
+/// slow link.
 const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(1_300);
-/// If the first that was asked has not answered by then, a second is asked as well: it may hang.
+/// If the first host has not answered by then, a second one is asked as well, since the first may
+/// hang.
 const SECOND_AFTER: time::Duration = time::Duration::from_millis(500);
-/// A host that starts looks for others in the store after such a time, in milliseconds: by then a seed that
-/// lives has answered, and what 295 hosts ask at once is spread a little.
+/// A starting host looks up registered hosts in the store after a random delay in this range, in
+/// milliseconds. By then a running seed has answered, and the delay spreads the calls of 295 hosts
+/// that start at once.
 const KEEPERS_AFTER_MS: std::ops::Range<u64> = 30..80;
-/// Known hosts that are asked besides the seeds when these did not help.
+/// Known hosts that are asked in addition to the seeds when no seed helped.
 const OTHER_SOURCES: usize = 3;
 /// The largest answer, in bytes: some thousand servers and some thousand routes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Starts the tasks that ask other hosts.
+/// Starts the tasks that send join requests.
 pub(super) fn spawn<W: WireProtocol, S: ObjectStore>(
     host: &rc::Rc<EntryHost<W>>,
     store: &rc::Rc<S>,
@@ -51,16 +55,16 @@
     tokio::task::spawn_local(ask_keepers(rc::Rc::clone(host), rc::Rc::clone(store)));
 }
 
-/// Asks the hosts of the own hall that keep an entry in the store, if the seeds have not helped by then:
-/// these may start last, or not at all. When 295 hosts returned at once it saved calls of the store, 1,729 to
-/// 1,414 on that day, and no time: half were complete after 0.52 s with and without it (a play each).
+/// Asks the registered hosts of the own hall if no seed has helped by then: the seeds may start
+/// last, or not at all. When 295 hosts returned at once, this reduced the store calls from 1,729 to
+/// 1,414. It saved no time: half of the hosts were complete after 0.52 s with and without it.
 async fn ask_keepers<W: WireProtocol, S: ObjectStore>(
     host: rc::Rc<EntryHost<W>>,
     store: rc::Rc<S>,
 ) {
     let pause_ms = host.random.borrow_mut().random_range(KEEPERS_AFTER_MS);
     tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
-    // When all start for the first time there are no entries.
+    // On the first start of the system there are no entries.
     if host.is_ready() || host.settings().first_start {
         return;
     }
@@ -82,7 +86,7 @@
     }
 }
 
-/// Asks other hosts until this one can serve, whoever tells it what it needs.
+/// Sends join requests until this host can serve, whichever host sends the state.
 async fn run<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
     let mut avoided = None;
     while !host.is_ready() && !host.is_leaving() {
@@ -101,7 +105,7 @@
     gossip::introduce(&host);
 }
 
-/// Another host says that it can serve: while this one can't, it asks that one as well.
+/// Sends a join request to a host that advertises itself as ready, while this host is not.
 pub(super) fn on_ready_heard<W: WireProtocol>(
     host: &rc::Rc<EntryHost<W>>,
     heartbeat: &PeerHeartbeat,
@@ -123,8 +127,8 @@
     });
 }
 
-/// Tells the own region that this host can serve, if what it needed came from another region: it is among
-/// the first here.
+/// Announces to the own region that this host can serve, if its snapshot came from another region:
+/// it is then among the first of its region.
 fn announce_elsewhere<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
     let region = host.settings().region.clone();
     let is_near = host.peers.borrow().stands_in(source, &region);
@@ -133,7 +137,8 @@
     }
 }
 
-/// The seeds, but for the one that has just failed; then also some other hosts, if any are known.
+/// The seeds except the one that has just failed. After a failure some other known hosts are
+/// included.
 fn sources_of<W: WireProtocol>(
     host: &EntryHost<W>,
     avoided: Option<net::SocketAddr>,
@@ -150,15 +155,15 @@
     sources
 }
 
-/// Asks the first of `sources` that is reached, and a second one if that takes long. Returns who
-/// was reached and did not help.
+/// Asks the first of `sources` that accepts a connection, and a second one if the answer takes
+/// long. Returns the host that was reached and did not help.
 async fn join_once<W: WireProtocol>(
     host: &EntryHost<W>,
     sources: &[net::SocketAddr],
 ) -> Option<net::SocketAddr> {
     tokio::select! {
         failed = ask_first(host, sources) => failed,
-        // Whoever told it.
+        // The state came from any host.
         () = host.join.completed.notified() => None,
     }
 }
@@ -190,7 +195,7 @@
     }
 }
 
-/// Connects to all of `sources` at once and keeps the connection that comes up first.
+/// Connects to all of `sources` at once and keeps the first connection that opens.
 async fn first_reached(sources: &[net::SocketAddr]) -> Option<(net::SocketAddr, ClientSender)> {
     let mut opening: FuturesUnordered<_> = sources
         .iter()
@@ -204,10 +209,11 @@
     None
 }
 
-/// Asks over an open connection, and whoever is named, until somebody tells everything.
+/// Sends a join request over an open connection and follows redirects until a host sends a
+/// snapshot.
 ///
 /// # Errors
-/// Who did not answer.
+/// The host that did not answer.
 async fn ask_along<W: WireProtocol>(
     host: &EntryHost<W>,
     first: net::SocketAddr,
@@ -237,7 +243,7 @@
     snapshot: &PeerSnapshot,
     source: net::SocketAddr,
 ) {
-    // Another source may have been quicker.
+    // Another source may have answered first.
     if !host.is_ready() {
         catch_up::take_over(host, snapshot, source);
     }
--- a/src/entry/join_role.rs
+++ b/src/entry/join_role.rs
@@ -1,56 +1,57 @@
-//! From whom a host that starts gets what it needs to serve: decisions only, driven by messages and
-//! time.
+//! Decides which host sends a snapshot to a host that is starting. It does no I/O: messages and
+//! time are its input.
 //!
 //! **Load pattern.** All hosts lose power, or are killed, and start again within a few tenths of a
-//! second, while callers go on sending. Each knows a few seeds, and each needs the configuration and the
-//! list of servers. If the seeds sent these to all, their links would bind: 100 KB for each of 98 hosts of
-//! a region take 0.4 s on 200 Mbit/s.
+//! second, while callers go on sending. Each host knows a few seeds, and needs the configuration
+//! and the list of servers. If only the seeds sent these, their links would be the bottleneck: 100
+//! KB for each of 98 hosts of a region take 0.4 s at 200 Mbit/s.
 //!
-//! So a host that is asked serves as many as its own link can bear within [`WAVE_MS`] and names to the
-//! others one that it has served before. The number of hosts that can serve grows with each wave, and
-//! the time until all are served grows with the logarithm of their number. Who is asked before it knows
-//! anything keeps the question, and answers the hosts with the fastest links first, since those
-//! serve the most.
+//! A host therefore serves as many requesters as its own link can carry within [`WAVE_MS`], and
+//! redirects the others to a host that it has served before. The number of hosts that can serve
+//! grows with each wave, so the time until all are served grows with the logarithm of their number.
+//! A host that is not ready holds requests and then answers the requesters with the fastest links
+//! first, since those can serve the most others.
 
 use super::peers::HostRecord;
 use crate::timer::Moment;
 
-/// A link is filled for this long before others are asked to help, in milliseconds: a tenth of what
-/// callers of the shortest goals in use can wait beside the work.
+/// How long a link is filled before requesters are redirected, in milliseconds: a tenth of the time
+/// that callers with the shortest goals in use can wait in addition to the work.
 pub const WAVE_MS: u64 = 100;
-/// Hosts that were served this long ago are not named any more, in milliseconds: by then a host that
-/// starts alone is served at once, and one that has ended since must not be named.
+/// Requesters are not redirected to hosts that were served longer ago than this, in milliseconds.
+/// By then a host that starts alone is served at once, and redirects must not lead to a host that
+/// has stopped since.
 const CARRIER_MS: u64 = 3_000;
-/// After so many hosts that named another one, a question is served whatever the load.
+/// After this many redirects a request is served regardless of the load.
 pub const MAX_HOPS: u8 = 3;
-/// Questions that are kept until this host knows something, at most; as many connections.
+/// The most requests held until this host is ready; each holds a connection.
 const MAX_PARKED: usize = 512;
-/// One message in a wave at least, however slow the link.
+/// At least one snapshot is sent in each wave, however slow the link is.
 const LEAST_PER_WAVE: u64 = 1;
-/// Bytes a millisecond of one Mbit/s.
+/// Bytes per millisecond at 1 Mbit/s.
 const BYTES_PER_MS_OF_MBPS: u64 = 125;
 
-/// What a host that starts tells whom it asks.
+/// A join request of a starting host.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct JoinQuestion {
-    /// Who asks.
+    /// The host that sends the request.
     pub record: HostRecord,
-    /// What its link carries, in Mbit/s.
+    /// The bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
-    /// How many hosts have named another one before.
+    /// How many redirects it has followed.
     pub hops: u8,
 }
 
-/// What comes of a question.
+/// What to do with a join request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JoinDecision {
-    /// Send it what is known.
+    /// Send a snapshot.
     Serve,
-    /// Name it another host that knows it, or will in a moment.
+    /// Redirect to another host that has the state, or receives it in a moment.
     Ask(std::net::SocketAddr),
 }
 
-/// A host that was served, and what it may pass on.
+/// A host that was served, and can serve others.
 #[derive(Debug)]
 struct JoinCarrier {
     name: String,
@@ -62,7 +63,7 @@
     load: WaveLoad,
 }
 
-/// How often one host was sent to, or sent, within the present wave.
+/// How many snapshots one host has been assigned, or has sent, in the current wave.
 #[derive(Debug, Clone, Copy, Default)]
 struct WaveLoad {
     began: Moment,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The part of a wave's room on a link that is taken: 1 when it is full.
+    /// The used part of a link's capacity in a wave; 1 when it is full.
     fn filling(self, link_mbps: u32, bytes: usize, now: Moment) -> f64 {
         self.count_at(now) as f64 / per_wave(link_mbps, bytes) as f64
     }
@@ -94,7 +95,7 @@
     }
 }
 
-/// Whom a host has served, and whom it may name.
+/// The hosts that this one has served, to which it can redirect requesters.
 #[derive(Debug, Default)]
 pub struct JoinRole {
     own: WaveLoad,
@@ -102,7 +103,8 @@
 }
 
 impl JoinRole {
-    /// Decides on a question; what is sent has `bytes`, and this host's link carries `link_mbps`.
+    /// Decides on a join request. The snapshot has `bytes`, and this host's link carries
+    /// `link_mbps`.
     ///
     /// ```
     /// use ledgespool::entry::join_role::{JoinDecision, JoinQuestion, JoinRole};
@@ -143,9 +145,10 @@
         JoinDecision::Serve
     }
 
-    /// A host to name, when this one's link is full in this wave: that of the region whose link is
-    /// fullest least, if that is less full than this host's. In the asking host's hall if there is a
-    /// choice; none in another region, where the way is longest and bytes are dearest.
+    /// Selects a host for a redirect when this host's link is full in the current wave: the host of
+    /// the requester's region whose link is used least, if it is used less than this host's.
+    /// Prefers the requester's hall on a tie. Never selects a host in another region, where latency
+    /// and the cost of traffic are highest.
     fn name_carrier(
         &mut self,
         question: &JoinQuestion,
@@ -192,13 +195,13 @@
     }
 }
 
-/// How often `bytes` fit through a link within a wave.
+/// How many times `bytes` fit through a link in a wave.
 fn per_wave(link_mbps: u32, bytes: usize) -> u64 {
     let carried = u64::from(link_mbps) * BYTES_PER_MS_OF_MBPS * WAVE_MS;
     (carried / bytes.max(1) as u64).max(LEAST_PER_WAVE)
 }
 
-/// Questions that came before this host knew anything.
+/// Join requests that arrived before this host was ready.
 #[derive(Debug)]
 pub struct ParkedQuestions<T> {
     parked: Vec<(JoinQuestion, T)>,
@@ -211,10 +214,10 @@
 }
 
 impl<T> ParkedQuestions<T> {
-    /// Keeps a question; gives it back when there are too many.
+    /// Holds a request.
     ///
     /// # Errors
-    /// The asker, who must be told at once.
+    /// Returns the requester when too many requests are held; it must be answered at once.
     pub fn park(&mut self, question: JoinQuestion, asker: T) -> Result<(), T> {
         if self.parked.len() >= MAX_PARKED {
             return Err(asker);
@@ -223,7 +226,7 @@
         Ok(())
     }
 
-    /// All that wait, those with the fastest links first.
+    /// Takes all held requests, those with the fastest links first.
     pub fn take(&mut self) -> Vec<(JoinQuestion, T)> {
         let mut parked = std::mem::take(&mut self.parked);
         parked.sort_by_key(|(question, _)| std::cmp::Reverse(question.link_mbps));
--- a/src/entry/packed_servers.rs
+++ b/src/entry/packed_servers.rs
@@ -1,12 +1,12 @@
-//! A long list of backend servers as hosts send it to each other.
+//! The compact encoding of a long list of backend servers that hosts send each other.
 //!
-//! A host that starts needs the whole list before it can serve, and hundreds may start at once. The
-//! names of services and halls, which most servers share, are written once.
+//! A starting host needs the whole list before it can serve, and hundreds may start at once. Names
+//! of services and halls, which most servers share, are written only once.
 
 use super::server::{ServerObject, ServerRecord, ServerState};
 use crate::rollout::order::VersionTag;
 
-/// The servers of a list; names are given by their places.
+/// A list of servers that refer to services and halls by index.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
 pub struct PackedServers {
     names: Vec<String>,
@@ -28,7 +28,7 @@
 }
 
 impl PackedServers {
-    /// Packs some servers.
+    /// Packs servers.
     ///
     /// ```
     /// use ledgespool::entry::packed_servers::PackedServers;
@@ -55,8 +55,8 @@
         packed
     }
 
-    /// The servers. One whose service or hall is not among the names, as only a faulty sender writes
-    /// it, is passed over.
+    /// The servers. A server whose service or hall index is out of range, which only a faulty
+    /// sender writes, is skipped.
     pub fn objects(&self) -> impl Iterator<Item = ServerObject> {
         self.servers.iter().filter_map(|server| {
             let record = ServerRecord {
@@ -77,7 +77,7 @@
         })
     }
 
-    /// A handful of services and halls, so that looking through them is quickest.
+    /// There are only a few services and halls, so a linear search is fastest.
     fn place_of(&mut self, name: &str) -> u32 {
         let known = self.names.iter().position(|known| known == name);
         let place = known.unwrap_or_else(|| {
