--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -1,4 +1,4 @@
-//! Fetching from another host what this one has missed.
+//! Fetches state from another host when its heartbeat shows that this host is behind.
 
 use std::{cell, net, rc, time};
 
@@ -19,32 +19,32 @@
 use crate::event::EventCode;
 use crate::http_client;
 
-/// Where a host serves all that it knows.
+/// Path of the snapshot of everything that a host knows.
 pub const SNAPSHOT_PATH: &str = "/snapshot";
-/// Where a host serves the changes of servers past the store's count that follows.
+/// Path of the server changes after a store revision; the revision follows.
 pub const CHANGES_PATH: &str = "/changes/";
-/// Where a host serves the configuration in force.
+/// Path of the active configuration.
 pub const CONFIGURATION_PATH: &str = "/configuration";
-/// Where a host serves what it knows of requests under which servers ended.
+/// Path of the suspects, the requests during which servers crashed.
 pub const SUSPECTS_PATH: &str = "/suspects";
 
-/// A host that hears of something newer waits a random part of this before it asks, in
-/// milliseconds: not all ask the same host, and news that is on its way arrives first.
+/// A host that learns of newer state waits a random part of this time before it fetches it, in
+/// milliseconds: hosts don't all ask the same source, and updates in transit arrive first.
 const SPREAD_MS: u64 = 150;
-/// A host that hears of newer servers waits this much longer, in milliseconds: the watchers of its
-/// own region see the same change a little earlier or later, and pass it on unasked.
+/// The additional wait for newer servers, in milliseconds: the watchers of the own region see the
+/// same change at about the same time and forward it without a request.
 const NEWS_MS: u64 = 250;
-/// A fetch must end within this time: four ways between the farthest regions and the largest
-/// answer over a slow link.
+/// Timeout of a fetch: two round trips between the most distant regions and the largest answer over
+/// a slow link.
 const FETCH_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// A host that has not answered by then is not waited for alone: another is asked as well. By the sum of
-/// the constants, not measured, news whose datagram was lost and whose first source hangs is known 1.7 s
-/// after the change instead of 3.2 s; a leaving server serves for 2 s and more. The largest answers in use
-/// should take a tenth of a second over a link of 10 Mbit/s.
+/// If the first source has not answered by then, a second one is asked as well. An update whose
+/// datagram was lost and whose first source hangs is then known 1.7 s after the change instead of
+/// 3.2 s, by the sum of the constants; a leaving server serves for at least 2 s. The largest
+/// answers in use should take a tenth of a second over a link of 10 Mbit/s.
 const SECOND_AFTER: time::Duration = time::Duration::from_millis(400);
-/// The largest answer that is read: some hundred servers and some thousand routes.
+/// The largest answer that is read, in bytes: some hundred servers and some thousand routes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// What a host may lack that another has told of.
+/// A kind of state that can be fetched from another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NewsKind {
     Configuration,
@@ -55,7 +55,7 @@
 impl NewsKind {
     const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Quarantine];
 
-    /// Whether this host lacks what `heartbeat` tells of.
+    /// Whether `heartbeat` advertises newer state than this host has.
     fn is_missing<W: WireProtocol>(self, host: &EntryHost<W>, heartbeat: &PeerHeartbeat) -> bool {
         match self {
             Self::Configuration => heartbeat.configuration_version > host.configuration_version(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// How long news that is on its way gets before it is asked for, in milliseconds.
+    /// How long to wait for an update in transit before fetching it, in milliseconds.
     const fn patience_ms(self) -> u64 {
         match self {
             Self::Configuration => 0,
@@ -73,8 +73,8 @@
     }
 }
 
-/// What is being fetched from other hosts now. Each kind by itself, so that a fetch that hangs holds up
-/// no other news.
+/// Marks the fetches in flight. Each kind has its own flag, so that a hanging fetch does not delay
+/// the other kinds.
 #[derive(Debug, Default)]
 pub struct OpenFetches {
     configuration: cell::Cell<bool>,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Fetches what a peer's heartbeat shows to be missing, unless a fetch of that is under way.
+/// Fetches what a peer's heartbeat shows to be missing, unless a fetch of that kind is in flight.
 pub fn on_heartbeat<W: WireProtocol>(host: &rc::Rc<EntryHost<W>>, heartbeat: &PeerHeartbeat) {
     let missing = NewsKind::ALL
         .into_iter()
@@ -123,7 +123,7 @@
     host.fetches.of(kind).set(false);
 }
 
-/// Asks `source`, and another host as well if that one fails or is silent for a while.
+/// Asks `source`, and another host as well if `source` fails or does not answer for a while.
 async fn fetch_from_either<W: WireProtocol>(
     host: &EntryHost<W>,
     kind: NewsKind,
@@ -147,7 +147,7 @@
     tokio::select! {
         FetchEnd::Answered = first => {}
         FetchEnd::Answered = second => {}
-        // The next heartbeat leads to another try.
+        // The next heartbeat starts another fetch.
         else => {}
     }
 }
@@ -174,12 +174,12 @@
     }
 }
 
-/// How a fetch ended.
+/// The outcome of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FetchEnd {
-    /// The other host told what it knows.
+    /// The other host sent its state.
     Answered,
-    /// It did not answer, or not in a way that could be understood; the log says which.
+    /// The other host did not answer, or its answer could not be decoded; the log says which.
     Silent,
 }
 
@@ -192,7 +192,8 @@
     }
 }
 
-/// Fetches the changes of servers past what is known, or everything where that cannot be told.
+/// Fetches the server changes since the known revision, or a whole snapshot if the changes are not
+/// available.
 async fn fetch_changes<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
     let revision = host.fleet.borrow().revision();
     if !host.fleet.borrow().is_listed() {
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -1,9 +1,11 @@
-//! Keeps what the store holds in view: list a kind, then watch it from there, and again from the
-//! list when the history is gone. Errors are met with growing pauses, so that hosts that all lost
-//! the store do not come back at the same instant.
+//! Follows the store: lists each kind of object, then watches it from the listed revision, and
+//! lists it again when the history is gone. Failed calls are retried with exponential backoff and
+//! jitter, so that hosts that lost the store at the same time do not all call again at the same
+//! instant.
 //!
-//! Only a few hosts of each region do this at a time, since every call is paid for; they pass on
-//! what they see ([`super::gossip`]). When one of them loses the store, the next in order takes over.
+//! Only a few hosts of each region follow the store at a time, since each call is charged. They
+//! forward the changes to the other hosts ([`super::gossip`]). When one of them loses the store,
+//! the next in rank replaces it.
 
 use std::{rc, time};
 
@@ -18,33 +20,33 @@
 use crate::event::EventCode;
 use crate::timer::Moment;
 
-/// A call that does not wait must be answered within this time; ordinary answers take 4 ms, those
-/// of a slow store some hundred.
+/// Timeout of a call that does not wait for changes. Ordinary answers take 4 ms, those of a slow
+/// store some hundred.
 pub(super) const CALL_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// A watch that has fallen silent is found out when this time is over, so it bounds how old the
-/// view can be; in milliseconds. Each end costs a call.
+/// How long a watch waits for a change, in milliseconds. A watch that hangs is detected when this
+/// time is over, so it bounds the age of the view. Each new watch is another call.
 const WATCH_WAIT_MS: u64 = 5_000;
-/// Hosts learn of each other by heartbeats as well, so their kind is watched with fewer calls; in
-/// milliseconds.
+/// How long a watch of the hosts waits, in milliseconds. Hosts also learn of each other by
+/// heartbeats, so fewer calls suffice.
 const HOSTS_WAIT_MS: u64 = 25_000;
-/// A watch after a call that failed asks for its answer at once, so that the store's return shows with
-/// the first call that it takes and not with the next change. Counted from that next change, the
-/// time for which lapsed entries are kept began up to 5 s late: servers that had left got work for
-/// up to 2.23 s (three days of simulated leaves after outages); in milliseconds.
+/// The wait of a watch after a failed call, in milliseconds. It asks for an immediate answer, so
+/// that the store's return is noticed with the first answered call rather than with the next
+/// change. When the return was noticed with the next change, the retention of expired entries began
+/// up to 5 s late, and servers that had left got work for up to 2.23 s.
 const RETURN_WAIT_MS: u64 = 0;
-/// The store's return was noticed in time if a call failed that began this short before, in
-/// milliseconds: one that does not wait is given up after 1 s, a pause of 0.8 s follows, and the
-/// next answer may be slow. A watch that fell silent is given up after 3 s, by probes, or after 6 s; what
-/// is missing then may have left since the store returned.
+/// The store's return was noticed in time if a failed call began at most this long ago, in
+/// milliseconds: a call that does not wait is given up after 1 s, a pause of 0.8 s follows, and the
+/// next answer may be slow. A watch that hangs is given up after 3 s by probes, or after 6 s;
+/// servers missing after that may have left since the store returned.
 const RETURN_SEEN_MS: u64 = 2_500;
-/// A watch's answer may be this late.
+/// How much later than its wait a watch may be answered.
 const WATCH_MARGIN: time::Duration = time::Duration::from_secs(1);
-/// The pause after a first failure, in milliseconds; it doubles with each further one.
+/// The pause after the first failure, in milliseconds; each further failure doubles it.
 pub(super) const FIRST_PAUSE_MS: u64 = 100;
-/// The longest such pause, in milliseconds.
+/// The longest pause after a failure, in milliseconds.
 pub(super) const MAX_PAUSE_MS: u64 = 800;
-/// After a change the next watch begins this much later, in which others join it: servers and
-/// hosts that start together change one after the other.
+/// Delay of the next watch after a change, in which further changes accumulate: servers and hosts
+/// that start together change one after the other.
 const GROUP_PAUSE: time::Duration = time::Duration::from_millis(250);
 
 /// Starts the tasks that follow the store.
@@ -63,13 +65,13 @@
     }
 }
 
-/// Follows one kind.
+/// Follows one kind of object.
 struct KindFollower<W, S> {
     host: rc::Rc<EntryHost<W>>,
     store: rc::Rc<S>,
     kind: ObjectKind,
     failures: u32,
-    /// When the last call began that the store did not answer: it was away at or after that moment.
+    /// When the last unanswered call began: the store was away at or after that moment.
     last_failed: Option<Moment>,
 }
 
@@ -93,14 +95,14 @@
                     position = Some(revision);
                     must_list = false;
                 }
-                // What was known before is out of date as well.
+                // The state from before is out of date as well.
                 Err(StoreFault::HistoryGone | StoreFault::FormerEra) => must_list = true,
                 Err(_) => self.pause().await,
             }
         }
     }
 
-    /// Where a watch can go on after what other hosts have told.
+    /// The revision from which a watch can continue, based on updates from other hosts.
     fn known_position(&self) -> Option<u64> {
         let fleet = self.host.fleet.borrow();
         match self.kind {
@@ -121,9 +123,10 @@
                 .unwrap_or(Err(StoreFault::Unreachable));
             self.note("list", began, page.as_ref().map(|page| page.revision));
             let page = page?;
-            // The first page's count: what changes while the rest is read is watched from there.
+            // The first page's revision: changes made while the other pages are read are watched
+            // from there.
             revision = revision.or(Some(page.revision));
-            // An entry that cannot be read may lack its name.
+            // An entry that cannot be decoded may have no name.
             let names = page.objects.iter().map(|object| &object.name);
             let last = names.max().cloned();
             let more = page.more;
@@ -131,7 +134,7 @@
             if !more {
                 break;
             }
-            // A page that leads no further would be read for ever.
+            // Without this check a page that does not advance would be read forever.
             if last <= after {
                 return Err(StoreFault::Malformed("a list that does not end".to_owned()));
             }
@@ -154,7 +157,7 @@
         let batch = batch?;
         if !batch.changes.is_empty() {
             store_news::on_changes(&self.host, self.kind, &batch);
-            // Changes come in groups; taking a group at once saves calls.
+            // Changes come in groups; receiving a group at once saves calls.
             tokio::time::sleep(GROUP_PAUSE).await;
         } else if self.kind == ObjectKind::Servers {
             self.host.fleet.borrow_mut().on_quiet(batch.revision);
@@ -171,8 +174,8 @@
         }
     }
 
-    /// Counts a call that began at `began`, and notes when the store is lost or found again. `result`
-    /// is the store's count in the answer.
+    /// Counts a call that began at `began`, and logs when the store is lost or found again.
+    /// `result` is the store revision in the answer.
     fn note(&mut self, call: &'static str, began: Moment, result: Result<u64, &StoreFault>) {
         let word = word_of(result);
         if let Some(text) = self.store.take_odd_era() {
@@ -189,7 +192,7 @@
                 self.host.on_store_position(revision, "store");
             }
             Err(StoreFault::Conflict | StoreFault::Absent) => self.on_answered(call, began, None),
-            // The list that follows shows whether the store is there.
+            // The following list shows whether the store is there.
             Err(StoreFault::HistoryGone | StoreFault::FormerEra) => {}
             Err(StoreFault::Unreachable | StoreFault::Refused(_) | StoreFault::Malformed(_)) => {
                 if self.host.watch.on_call(self.kind, true) {
@@ -247,7 +250,7 @@
     }
 }
 
-/// The word for a call's result in logs and metrics.
+/// The label of a call's result in logs and metrics.
 const fn word_of(result: Result<u64, &StoreFault>) -> &'static str {
     match result {
         Ok(_) => "ok",
@@ -259,7 +262,7 @@
     }
 }
 
-/// Waits at least half of `longest_ms` and at most all of it, at random.
+/// Sleeps for a random time between half of `longest_ms` and all of it.
 pub(super) async fn pause_up_to<W: WireProtocol>(host: &EntryHost<W>, longest_ms: u64) {
     let millis = host
         .random
@@ -268,7 +271,7 @@
     tokio::time::sleep(time::Duration::from_millis(millis)).await;
 }
 
-/// A call to the store that must be answered within [`CALL_LIMIT`].
+/// Runs a store call with the timeout [`CALL_LIMIT`].
 pub(super) async fn within_limit<T>(call: impl Future<Output = StoreResult<T>>) -> StoreResult<T> {
     let answered = tokio::time::timeout(CALL_LIMIT, call).await;
     answered.unwrap_or(Err(StoreFault::Unreachable))
