--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -1,4 +1,4 @@
-//! What an entry host asks of the platform's object store.
+//! The interface to the platform's object store: kinds of objects, results and calls.
 
 use super::configuration::ServiceConfiguration;
 use super::peers::HostRecord;
@@ -6,20 +6,20 @@
 use super::server::{ServerObject, ServerRecord};
 use crate::rollout::order::{RolloutRecord, StoredRollout};
 
-/// The kinds of object that an entry host follows.
+/// The kinds of object that an entry host reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ObjectKind {
     /// The operator's configuration.
     Configuration,
     /// The backend servers.
     Servers,
-    /// The halls that are to be emptied.
+    /// The halls to be evacuated.
     Evacuations,
-    /// Services whose traffic is to move to another version.
+    /// Services whose traffic moves to another version.
     Rollouts,
-    /// The entry hosts; written by themselves.
+    /// The entry hosts; they write their own objects.
     Hosts,
-    /// The requests that are kept from servers; written by entry hosts, and read at their start only.
+    /// The blocked requests; entry hosts write them, and read them only at their start.
     Quarantine,
 }
 
@@ -43,7 +43,7 @@
         Self::Hosts,
     ];
 
-    /// A word for logs and metrics.
+    /// The label in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -57,31 +57,31 @@
     }
 }
 
-/// What an object holds.
+/// The decoded content of an object.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ObjectContent {
     /// A whole configuration.
     Configuration(Box<ServiceConfiguration>),
-    /// One run of a backend server.
+    /// One incarnation of a backend server.
     Server(ServerRecord),
     /// The object's name is a hall that gets no work.
     Evacuation,
-    /// An order to move a service's traffic to another version.
+    /// A spec for moving a service's traffic to another version.
     Rollout(StoredRollout),
     /// One run of an entry host.
     Host(HostRecord),
-    /// A request that is kept from servers.
+    /// A request that is blocked from servers.
     Suspect(StoredSuspect),
-    /// Bytes that could not be understood, with the reason.
+    /// Content that could not be decoded, with the reason.
     Unreadable(String),
 }
 
-/// One object as the store holds it.
+/// An object as it is stored.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredObject {
-    /// The name within its kind.
+    /// The name, unique within its kind.
     pub name: String,
-    /// The store's position at the object's last change.
+    /// The store revision of the object's last change.
     pub revision: u64,
     /// The decoded content.
     pub content: ObjectContent,
@@ -100,77 +100,78 @@
 /// One page of a list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectPage {
-    /// The objects, by name.
+    /// The objects, sorted by name.
     pub objects: Vec<StoredObject>,
-    /// Whether more follow behind the last name.
+    /// Whether more objects follow after the last name.
     pub more: bool,
-    /// The store's position when the page was read.
+    /// The store revision at which the page was read.
     pub revision: u64,
 }
 
-/// One change that a watch saw.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectChange {
-    /// The object, as it stands or as it last stood.
+    /// The object after the change, or its last state if it was deleted.
     pub object: StoredObject,
-    /// Whether it is gone.
+    /// Whether it was deleted.
     pub deleted: bool,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeBatch {
-    /// The changes in their order; none when the wait ran out.
+    /// The changes in order; empty when the wait timed out.
     pub changes: Vec<ObjectChange>,
-    /// Where the next watch goes on.
+    /// The revision from which the next watch continues.
     pub revision: u64,
 }
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFault {
-    /// No connection, a broken one, or no answer in time; a write may take effect later.
-    #[error("the store gives no answer")]
+    /// No connection, a broken one, or no answer in time. A write may still take effect later.
+    #[error("the store does not answer")]
     Unreachable,
-    /// The store refuses calls for now; nothing was done.
-    #[error("the store refuses with status {0}")]
+    /// The store rejects calls for now; nothing was done.
+    #[error("the store refuses calls with status {0}")]
     Refused(u16),
-    /// The history behind the watched revision is gone: list again.
-    #[error("the store has forgotten the watched history")]
+    /// The history after the watched revision is gone; the kind must be listed again.
+    #[error("the store no longer has the watched history")]
     HistoryGone,
-    /// The answer is of an era of the store that is over: what it tells, or did, may be lost.
-    #[error("the store has come back from a copy since it gave this answer")]
+    /// The answer belongs to an earlier epoch of the store: what it reports or confirms may be
+    /// lost.
+    #[error("the store has returned from an older backup since it gave this answer")]
     FormerEra,
-    /// The object is not at the expected revision, or is there already.
-    #[error("the object stands at another revision")]
+    /// The object is not at the expected revision, or already exists.
+    #[error("the object is at another revision")]
     Conflict,
-    /// There is no such object.
-    #[error("there is no such object")]
+    /// The object does not exist.
+    #[error("the object does not exist")]
     Absent,
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     #[error("the store's answer is malformed: {0}")]
     Malformed(String),
 }
 
-/// A result of the store.
+/// The result of a store call.
 pub type StoreResult<T> = Result<T, StoreFault>;
 
-/// The calls that an entry host makes. Time limits are the caller's.
+/// The store calls of an entry host. Timeouts are left to the caller.
 #[expect(
     async_fn_in_trait,
     reason = "all callers live on one thread, so the futures need not be Send"
 )]
 pub trait ObjectStore: 'static {
-    /// The era of the store that was last seen; 0 where it tells none.
+    /// The last seen epoch of the store; 0 if the store reports none.
     fn era(&self) -> u64;
 
-    /// An era that an answer told and that could not be understood, once.
+    /// Takes the last reported epoch that could not be parsed, if any.
     fn take_odd_era(&self) -> Option<String>;
 
-    /// One page of a kind, behind the name `after`.
+    /// One page of a kind, after the name `after`.
     async fn list(&self, kind: ObjectKind, after: Option<&str>) -> StoreResult<ObjectPage>;
 
-    /// Changes of a kind past `revision`; waits up to `wait_ms` for the first.
+    /// Changes of a kind after `revision`; waits up to `wait_ms` for the first.
     async fn watch(
         &self,
         kind: ObjectKind,
@@ -178,31 +179,31 @@
         wait_ms: u64,
     ) -> StoreResult<ChangeBatch>;
 
-    /// The objects of entry hosts as they stood some seconds ago at most: a call that costs little, for hosts
-    /// that look for others. The first page only.
+    /// The objects of entry hosts, at most some seconds out of date and only the first page: a
+    /// cheap call for hosts that look for others.
     async fn list_hosts_stale(&self) -> StoreResult<Vec<HostRecord>>;
 
     /// Reads the object of an entry host.
     async fn read_host(&self, name: &str) -> StoreResult<StoredObject>;
 
-    /// Makes the object of an entry host; returns the store's count at the change. `Conflict` when
-    /// it is there.
+    /// Creates the object of an entry host; returns the store revision of the change, or `Conflict`
+    /// if it already exists.
     async fn create_host(&self, record: &HostRecord) -> StoreResult<u64>;
 
-    /// Replaces the object of an entry host if it still stands at `revision`; returns the store's
-    /// count at the change.
+    /// Replaces the object of an entry host if it is still at `revision`; returns the store
+    /// revision of the change.
     async fn replace_host(&self, record: &HostRecord, revision: u64) -> StoreResult<u64>;
 
-    /// Records how far an order to move a service's traffic has come, if its object still stands where the record
-    /// says; returns the store's count at the change.
+    /// Records the progress of a rollout if its object is still at the revision that the record
+    /// states; returns the store revision of the change.
     async fn record_rollout(&self, record: &RolloutRecord) -> StoreResult<u64>;
 
-    /// Makes the object of a barred request; `Conflict` when it is there.
+    /// Creates the object of a blocked request; `Conflict` if it already exists.
     async fn create_suspect(&self, suspect: &StoredSuspect) -> StoreResult<()>;
 
-    /// Removes the object of a request, by its name.
+    /// Deletes the object of a blocked request by its name.
     async fn delete_suspect(&self, name: &str) -> StoreResult<()>;
 
-    /// Removes the object of an entry host if it still stands at `revision`.
+    /// Deletes the object of an entry host if it is still at `revision`.
     async fn delete_host(&self, name: &str, revision: u64) -> StoreResult<()>;
 }
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -1,9 +1,9 @@
-//! What a host does when the store comes back from an older copy.
+//! Handles a store that returns from an older backup and starts a new epoch.
 //!
-//! What hosts and servers wrote since that copy is gone from the store for a moment, and what ended since stands in it
-//! again. Until it is written again a host goes on believing what it knew: a server that drained or went gets nothing, a
-//! hall that was emptied stays so, a configuration never goes back. What nobody has written again after
-//! [`SETTLE_MS`] is taken as the store shows it.
+//! Entries that hosts and servers wrote after the backup are then missing for a moment, and entries
+//! removed since are there again. Until they are written again a host relies on what it knew: a
+//! server that drained or was removed gets no requests, an evacuated hall stays evacuated, and the
+//! configuration version never goes back. After [`SETTLE_MS`] the state in the store is accepted.
 
 use serde_json::json;
 
@@ -13,13 +13,15 @@
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
-/// By then operator and servers have written again what was lost, in milliseconds: a server writes each heartbeat of 1.5 s,
-/// and the entry of one that is gone lapses after three.
+/// By then the operator and the servers have rewritten what was lost, in milliseconds: a server
+/// writes its entry with each heartbeat, every 1.5 s, and the entry of a removed server expires
+/// after 3 s.
 pub(super) const SETTLE_MS: u64 = 6_000;
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// The store stands at `position`, as `source` tells. When that is of a new era, entries that are missing from now on were
-    /// perhaps lost, and what this host has to write is written again.
+    /// Processes the store position `position`, reported by `source`. If it belongs to a new epoch,
+    /// entries that go missing from now on may have been lost, and this host writes its blocked
+    /// requests again.
     pub(super) fn on_store_position(&self, position: u64, source: &str) {
         let era = store_position::era_of(position);
         let before = self.store_era.get();
@@ -27,7 +29,7 @@
             return;
         }
         self.store_era.set(era);
-        // A host that has just started, or that never heard of eras, has lost nothing.
+        // A host that has just started, or that has not seen an epoch before, has lost nothing.
         if before == 0 {
             return;
         }
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -1,4 +1,4 @@
-//! What a host does with what the store shows it.
+//! Applies the lists and changes that a host reads from the store.
 
 use serde_json::json;
 
@@ -12,7 +12,7 @@
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
-/// Takes over a whole list of a kind, current up to `revision`.
+/// Applies a whole list of a kind, current up to `revision`.
 pub(super) fn on_list<W: WireProtocol>(
     host: &EntryHost<W>,
     kind: ObjectKind,
@@ -49,7 +49,8 @@
     gossip::announce_start(host);
 }
 
-/// A store that came back from an older copy may have lost this host's entry, or shows it at another position.
+/// Checks the own entry: a store that returned from an older backup may have lost it, or may hold
+/// it at another revision.
 fn look_for_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
     if host.own_entry.get().is_none() {
         return;
@@ -62,7 +63,7 @@
     }
 }
 
-/// Takes over what a watch of a kind brought, and passes it on to the other hosts.
+/// Applies the changes that a watch reported, and forwards them to the other hosts.
 pub(super) fn on_changes<W: WireProtocol>(
     host: &EntryHost<W>,
     kind: ObjectKind,
@@ -118,11 +119,11 @@
     host_gossip::pass_on_hosts(host, news);
 }
 
-/// The run whose entry is gone: as the store tells, else the one that is known.
+/// The run whose entry was deleted: the one that the store reports, or else the one that is known.
 fn gone_host<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject) -> GoneHost {
     let run = match &object.content {
         ObjectContent::Host(record) => record.run,
-        // A host knows itself not from the table.
+        // The table of peers does not contain the host itself.
         _ if object.name == host.settings().name => host.run,
         _ => host.peers.borrow().run_of(&object.name),
     };
--- a/src/entry/store_position.rs
+++ b/src/entry/store_position.rs
@@ -1,17 +1,18 @@
-//! Where the store stands: its era and, within that, its count of changes.
+//! A position in the store's history: the epoch and, within it, the revision.
 //!
-//! A store that was away may come back from an older copy. Its counts go back then and are given out again, and its
-//! era rises. So positions are compared by era first. All counts that hosts keep and tell each other are whole
-//! positions in one number: one of a later era is larger than all of an earlier one. Compared by the count alone, a server
-//! that wrote its entry after such a return got no request as long as its host lived.
+//! A store that returns from an older backup reuses revisions, and its epoch increases. Positions
+//! are therefore compared by epoch first. Hosts keep and send positions as one number, in which any
+//! position of a later epoch is larger than all positions of earlier ones. When only revisions were
+//! compared, a server that wrote its entry after such a return got no requests for as long as the
+//! host ran.
 
-/// Bits of the count: a thousand changes a second for a thousand days and more.
+/// Bits of the revision: enough for a thousand changes per second over more than a thousand days.
 const COUNT_BITS: u32 = 40;
 const COUNT_MASK: u64 = (1 << COUNT_BITS) - 1;
-/// The highest era that a position holds.
+/// The highest epoch that a position can hold.
 pub const MAX_ERA: u64 = (1 << (63 - COUNT_BITS)) - 1;
 
-/// The position of a count within an era.
+/// The position of a revision within an epoch.
 ///
 /// ```
 /// use ledgespool::entry::store_position;
@@ -26,13 +27,13 @@
     (era << COUNT_BITS) | (count & COUNT_MASK)
 }
 
-/// The era of a position; 0 where the store tells none.
+/// The epoch of a position; 0 if the store reports none.
 #[must_use]
 pub const fn era_of(position: u64) -> u64 {
     position >> COUNT_BITS
 }
 
-/// The store's own count at a position.
+/// The store revision of a position.
 #[must_use]
 pub const fn count_of(position: u64) -> u64 {
     position & COUNT_MASK
