--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -1,5 +1,7 @@
-//! The entries of entry hosts in the store: a few hosts of each hall keep one, by which a host that knows
-//! nobody finds others, and those of hosts that have been silent for long are removed.
+//! Manages the entries of entry hosts in the store.
+//!
+//! A few hosts of each hall register an entry, so that a host that knows no other host can find
+//! one. Entries of hosts that have been silent for long are removed.
 
 use std::{rc, time};
 
@@ -15,19 +17,21 @@
 use crate::event::EventCode;
 use crate::timer::Moment;
 
-/// Hosts that have been silent are looked for this often.
+/// How often silent hosts are looked for.
 const SWEEP: time::Duration = time::Duration::from_secs(5);
-/// How often a host looks whether its own entry must be written again: well within the time for
-/// which it can be silent before the others remove it.
+/// How often a host checks whether its own entry must be written again: well within the time for
+/// which it can be silent before the others remove the entry.
 const OWN_ENTRY_CHECK: time::Duration = time::Duration::from_secs(1);
 
-/// A started host has met the others of its region by then, so that no more than those whose turn it is
-/// write an entry, in milliseconds. Old entries are good until then: hosts return to their addresses.
+/// By then a started host has discovered the others of its region, in milliseconds, so that only
+/// the selected hosts write an entry. Old entries can be used until then, as hosts return to their
+/// addresses.
 const SETTLE_MS: u64 = 3_000;
-/// By then a started host has heard of all others, in milliseconds: those that start with it are told of
-/// within a second, and each heartbeat is told to eight others twice a second.
+/// By then a started host has learned of all others, in milliseconds: hosts that start with it are
+/// announced within a second, and each heartbeat is sent to eight others twice a second.
 const ALL_MET_MS: u64 = 5_000;
-/// The same where a hall is known of which no host was heard: it has none, or none that lives.
+/// The same limit if no host of some hall was discovered, in milliseconds: the hall has no host, or
+/// none that is alive.
 const ALL_MET_AT_LAST_MS: u64 = 30_000;
 
 /// Starts the tasks that write and remove entries.
@@ -39,13 +43,14 @@
     tokio::task::spawn_local(sweep(rc::Rc::clone(host), rc::Rc::clone(store)));
 }
 
-/// Writes this host's own entry when it is one of those that keep one, and again whenever it is gone.
+/// Writes this host's own entry when it is selected to register one, and again whenever the entry
+/// is missing.
 async fn register<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     let mut was_keeper = false;
     while !host.is_leaving() {
         tokio::time::sleep(OWN_ENTRY_CHECK).await;
         let keeps = host.keeps_entry();
-        // Twice in a row: another may only have missed a heartbeat.
+        // Two checks in a row must agree: another host may only have missed a heartbeat.
         let is_due = keeps && was_keeper && host.own_entry.get().is_none();
         was_keeper = keeps;
         if is_due && write_until_done(&host, &*store).await.is_none() {
@@ -54,7 +59,8 @@
     }
 }
 
-/// Tries to write the own entry until it stands; `None` if it must not be written any more.
+/// Retries writing the own entry until it succeeds; `None` if the entry must not be written any
+/// more.
 async fn write_until_done<W: WireProtocol, S: ObjectStore>(
     host: &EntryHost<W>,
     store: &S,
@@ -84,13 +90,14 @@
         now.0 >= SETTLE_MS && self.peers.borrow().keeps_entry(&self.record(), now)
     }
 
-    /// Whether this host has probably met all others of its region: it knows all hosts, or has run for as long as
-    /// that takes.
+    /// Whether this host has probably discovered all others of its region: its membership is
+    /// complete, or it has run for long enough.
     pub(super) fn has_met_region(&self) -> bool {
         self.now().0 >= SETTLE_MS || self.peers.borrow().is_listed()
     }
 
-    /// Takes all hosts for known once there was time to hear of them, and a host of each hall is known.
+    /// Marks the membership as complete once there was time to learn of all hosts and a host of
+    /// each hall is known.
     pub(super) fn look_for_all_hosts(&self, now: Moment) {
         if now.0 < ALL_MET_MS || self.peers.borrow().is_listed() {
             return;
@@ -103,7 +110,8 @@
         }
     }
 
-    /// The own entry of `run` is gone from the store. An earlier run's end changes nothing.
+    /// Handles the removal of the entry that `run` of this host wrote. The removal of an earlier
+    /// run's entry changes nothing.
     pub(super) fn on_own_entry_gone(&self, run: u64) {
         if run >= self.run && !self.is_leaving() {
             self.own_entry.set(None);
@@ -111,16 +119,16 @@
     }
 }
 
-/// What came of writing a host's own entry.
+/// The result of writing a host's own entry.
 enum OwnEntry {
-    /// It stands at this count of the store.
+    /// The entry was written at this store revision.
     Written(u64),
-    /// A later run of this host has written it.
+    /// A later run of this host has written the entry.
     LaterRun,
 }
 
-/// Makes the entry, or replaces that of an earlier run. The store may carry out a call late, so each
-/// names the entry that it replaces.
+/// Creates the entry, or replaces that of an earlier run. The store may execute a call late, so
+/// each call states the revision that it replaces.
 async fn write_own<S: ObjectStore>(record: &HostRecord, store: &S) -> StoreResult<OwnEntry> {
     match store.create_host(record).await {
         Err(StoreFault::Conflict) => {}
@@ -129,7 +137,7 @@
     let found = store.read_host(&record.name).await?;
     match &found.content {
         ObjectContent::Host(other) if other.run > record.run => Ok(OwnEntry::LaterRun),
-        // An earlier call of this run was carried out, though its answer was lost.
+        // An earlier call of this run was executed, but its answer was lost.
         ObjectContent::Host(other) if other == record => Ok(OwnEntry::Written(found.revision)),
         _ => {
             let replaced = store.replace_host(record, found.revision).await;
@@ -138,8 +146,8 @@
     }
 }
 
-/// Removes this host's own entry as it leaves. If this fails, the others remove it when the host
-/// has been silent for a while.
+/// Removes this host's own entry when it leaves. If this fails, the others remove the entry after
+/// the host has been silent for a while.
 pub(super) async fn withdraw<W: WireProtocol, S: ObjectStore>(
     host: rc::Rc<EntryHost<W>>,
     store: rc::Rc<S>,
@@ -155,8 +163,8 @@
     }
 }
 
-/// Forgets hosts that have been silent for long. The first host of a region tells the other regions, and
-/// removes the entries of such hosts.
+/// Removes hosts that have been silent for long from the peer table. The first watcher of a region
+/// also reports them to the other regions, and removes their entries from the store.
 async fn sweep<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     loop {
         tokio::time::sleep(SWEEP).await;
@@ -186,7 +194,7 @@
     entry: &GoneHost,
 ) {
     match follow::within_limit(remove_run(entry, store)).await {
-        // It is gone, or its host lives again and has changed it.
+        // The entry was removed, or its host is alive again and has changed it.
         Ok(()) | Err(StoreFault::Absent | StoreFault::Conflict) => {
             let mut peers = host.peers.borrow_mut();
             peers.on_entry_gone(&entry.name, entry.run);
@@ -198,7 +206,7 @@
     }
 }
 
-/// Removes a host's entry if it is still that of the run which fell silent.
+/// Removes a host's entry if it is still that of the run that fell silent.
 async fn remove_run<S: ObjectStore>(silent: &GoneHost, store: &S) -> StoreResult<()> {
     let found = store.read_host(&silent.name).await?;
     match &found.content {
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The life of one entry host's process: start, regular work, signals, changed settings, end.
+//! The lifecycle of an entry host's process: startup, periodic work, signals, reloaded settings,
+//! shutdown.
 
 use std::{net, path, rc, time};
 
@@ -15,16 +16,16 @@
 use crate::error;
 use crate::event::EventCode;
 
-/// How often what is due is looked after: idle connections, lapsed entries, the log.
+/// Interval of the periodic work: idle connections, expired entries, the log.
 const TICK: time::Duration = time::Duration::from_millis(100);
-/// How often the settings file is looked at, in ticks; it may change without a signal.
+/// How often the settings file is checked, in ticks; it may change without a signal.
 const SETTINGS_TICKS: u64 = 20;
 
-/// Runs a host until the process is told to stop and its requests have ended.
+/// Runs a host until the process is told to stop and its requests have completed.
 ///
 /// # Errors
-/// `AddressInvalid` when a listener cannot be opened; I/O errors when signals or the log cannot
-/// be set up.
+/// `AddressInvalid` when a listener cannot be opened; I/O errors when signals or the log cannot be
+/// set up.
 pub async fn run<W, S, C>(
     file: &path::Path,
     settings: EntrySettings,
@@ -63,7 +64,7 @@
     Ok(())
 }
 
-/// The signals that concern a host.
+/// The signals that a host handles.
 #[derive(Debug)]
 struct StopSignals {
     terminate: tokio::signal::unix::Signal,
@@ -124,7 +125,7 @@
 fn reload_settings<W: WireProtocol>(host: &EntryHost<W>, file: &path::Path) {
     match settings::from_file(file) {
         Ok(settings) => host.install_settings(settings),
-        // What was in force stays so; the file is read again soon.
+        // The active settings stay; the file is read again soon.
         Err(fault) => host.note(
             EventCode::SettingsRejected,
             json!({ "code": fault.code().to_string(), "detail": fault.to_string() }),
--- a/src/entry/watch_role.rs
+++ b/src/entry/watch_role.rs
@@ -1,4 +1,4 @@
-//! Whether a host watches the store for its region or leaves that to others.
+//! Decides whether a host watches the store for its region or leaves that to others.
 
 use std::{cell, collections};
 
@@ -12,38 +12,41 @@
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
-/// A started host that is no seed leaves the store to the seeds for this long, in milliseconds, and
-/// asks them. When the whole system starts for the first time there are no callers yet, but many
-/// hosts at once.
+/// On the first start of the whole system, hosts that are not seeds leave the store to the seeds
+/// for this long and ask them, in milliseconds. There are no callers yet, but many hosts start at
+/// once.
 const FIRST_MEETING_MS: u64 = 1_500;
-/// At any other start, with callers waiting, hosts that nobody has told begin to list the store one after
-/// the other: each after this time over its part of a core, in milliseconds. A host of half a core reads
-/// 1,566 servers in 90 to 140 ms and one of a tenth in 270 (logs of a return of 295 hosts), so the larger
-/// ones go first.
+/// On any other start callers are waiting, so hosts that have no list of servers begin to list the
+/// store one after the other. Each waits this time divided by its share of a core, in milliseconds.
+/// A host with half a core reads 1,566 servers in 90 to 140 ms and one with a tenth of a core in
+/// 270 ms, so the larger hosts begin first.
 const LIST_LEAST_MS: f64 = 30.0;
-/// And a random part of this time over its part of a core, in milliseconds, so that some ten of 27 hosts
-/// with half a core have begun when the first can serve the others.
+/// The range of the random delay that is added, in milliseconds, also divided by the share of a
+/// core. Of 27 hosts with half a core, about ten have begun when the first one can serve the
+/// others.
 const LIST_SPREAD_MS: f64 = 100.0;
-/// The longest that both take, in milliseconds: a host that is alone should not wait longer.
+/// The upper bound of the whole delay, in milliseconds: a host without any others should not wait
+/// longer.
 const LONGEST_WAIT_MS: f64 = 2_000.0;
-/// A started host that is no seed, and that another host gives or gave what it needs, leaves the store to
-/// the seeds for this long, in milliseconds: longer than a question is kept, and long enough to hear of
-/// those who watch. Else each of hundreds that start together lists everything for itself.
+/// How long after its start a host that is not a seed leaves the store to the seeds if it has
+/// reached another host, in milliseconds. It is longer than a join request is held, and long enough
+/// to learn which hosts watch. Without it, each of hundreds of hosts that start together lists
+/// everything itself.
 const CONTACT_MS: u64 = 1_500;
 
-/// How a host stands to the store: whether it watches, and the kinds that it cannot see now.
+/// Whether a host watches the store, and the kinds that it cannot read now.
 #[derive(Debug, Default)]
 pub struct WatchRole {
     watches: cell::Cell<bool>,
-    /// Wakes the tasks that follow a kind, which wait while this host leaves the store to others.
+    /// Wakes the tasks that follow a kind; they wait while this host leaves the store to others.
     began: Notify,
     lost: cell::RefCell<collections::HashSet<ObjectKind>>,
-    /// Where in the order of hosts that list the store this one stands, from 0 to 1.
+    /// The position of this host in the random order in which hosts list the store, from 0 to 1.
     spread: cell::OnceCell<f64>,
 }
 
 impl WatchRole {
-    /// Takes the role up or leaves it; returns whether that is a change.
+    /// Starts or stops watching; returns whether that is a change.
     pub fn set_watching(&self, watches: bool) -> bool {
         if !watches {
             self.lost.borrow_mut().clear();
@@ -65,12 +68,12 @@
         self.watches.get()
     }
 
-    /// A number from 0 to 1 that is drawn once.
+    /// A number from 0 to 1 that is sampled once.
     fn spread(&self, draw: impl FnOnce() -> f64) -> f64 {
         *self.spread.get_or_init(draw)
     }
 
-    /// A call about a kind was or was not answered; returns whether that is a change.
+    /// Records whether a call about a kind was lost; returns whether that is a change.
     ///
     /// ```
     /// use ledgespool::entry::peer_message::WatchState;
@@ -97,7 +100,7 @@
         self.lost.borrow().contains(&kind)
     }
 
-    /// What other hosts are told.
+    /// The state that is sent to other hosts.
     #[must_use]
     pub fn state(&self) -> WatchState {
         match (self.watches.get(), self.lost.borrow().is_empty()) {
@@ -109,14 +112,16 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Whether this host is one of those that watch the store for its region. Until it has a list of
-    /// servers, or for a short time from its start, only a seed is, and who finds no one to ask.
+    /// Whether this host is one of those that watch the store for its region. Until it has a list
+    /// of servers, or for a short time after its start, only seeds watch, and hosts that find no
+    /// other host to ask.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         let settings = self.settings();
         let is_seed = settings.seeds.contains(&settings.peer_address);
         if !self.fleet.borrow().is_listed() {
-            // Who has begun to list goes on: hosts that it meets meanwhile may wait for its list.
+            // A host that has begun to list continues: hosts that join meanwhile may wait for its
+            // list.
             return is_seed || self.watch.is_watching() || self.now().0 >= self.list_after_ms();
         }
         if self.join.has_contact() && self.now().0 < CONTACT_MS {
@@ -126,7 +131,7 @@
         peers.is_watcher(&self.record(), self.now())
     }
 
-    /// Takes up the watch, or leaves it to others, as is due now.
+    /// Starts or stops watching the store, as this host's role requires now.
     pub(super) fn look_at_watch_role(&self) {
         let is_due = self.is_watcher();
         if self.watch.set_watching(is_due) {
@@ -135,7 +140,8 @@
         }
     }
 
-    /// How long after its start a host without a list of servers lists them itself, in milliseconds.
+    /// How long after its start a host without a list of servers lists them itself, in
+    /// milliseconds.
     fn list_after_ms(&self) -> u64 {
         let settings = self.settings();
         if settings.first_start {
@@ -143,7 +149,7 @@
         }
         let spread = self.watch.spread(|| self.random.borrow_mut().random());
         let wait_ms = (LIST_LEAST_MS + LIST_SPREAD_MS * spread) / settings.processor_share;
-        // A positive number up to the longest.
+        // The value is positive and bounded.
         wait_ms.min(LONGEST_WAIT_MS) as u64
     }
 }
