--- a/src/entry/metrics_page.rs
+++ b/src/entry/metrics_page.rs
@@ -1,54 +1,55 @@
-//! Counters and histograms of a process, served as one page of text.
+//! Counters and histograms of a process, served as a text page.
 
 use std::collections;
 use std::fmt::Write as _;
 
 use super::store::ObjectKind;
 
-/// Upper bounds of the latency histogram, in milliseconds: from the fastest warm answer to the
-/// longest deadline that is in use.
+/// Upper bounds of the latency histogram, in milliseconds: from the fastest answer of a warm server
+/// to the longest deadline in use.
 const BUCKETS_MS: [u64; 12] = [
     25, 50, 100, 200, 300, 400, 600, 1_000, 1_500, 2_500, 4_000, 8_000,
 ];
 
-/// Customers whose refusals are counted by name; those of others are summed up, so that the page stays small.
+/// The number of customers whose refusals are counted by name. All others share one counter, which
+/// limits the size of the page.
 const NAMED_CUSTOMERS: usize = 100;
-/// The name under which the others stand.
+/// The label of the counter that all other customers share.
 const OTHER_CUSTOMERS: &str = "(others)";
 
-/// How a caller's request ended.
+/// The outcome of a caller's request. A refused request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestEnd {
     /// A server's whole answer was delivered.
     Answered,
-    /// Refused unrun: no server would answer in time.
+    /// Refused: no server would answer in time.
     RefusedFull,
-    /// Refused unrun: no server may serve it.
+    /// Refused: no server may serve it.
     RefusedNoServer,
-    /// Refused unrun: there is no configuration yet.
+    /// Refused: there is no configuration yet.
     RefusedUnconfigured,
-    /// Refused unrun: there is no list of servers yet.
+    /// Refused: there is no list of servers yet.
     RefusedUnlisted,
-    /// Refused unrun: this host is about to stop.
+    /// Refused: this host is about to stop.
     RefusedLeaving,
-    /// Refused unrun: its customer's limit leaves no room.
+    /// Refused: its customer's limit has no free capacity.
     RefusedLimit,
-    /// Refused unrun: no region may serve both its route and its customer.
+    /// Refused: no region may serve both its route and its customer.
     RefusedHomes,
-    /// Refused unrun: servers ended under it.
+    /// Refused: servers crashed while processing it.
     RefusedQuarantined,
-    /// No route, or a request that breaks a limit.
+    /// No route matches, or the request breaks a limit.
     Rejected,
-    /// Sent, and no answer that can be trusted came.
+    /// Sent, but no answer arrived that can be trusted.
     Lost,
-    /// Sent, and its time ran out.
+    /// Sent, but its deadline passed.
     TimedOut,
-    /// The caller left first.
+    /// The caller disconnected first.
     CallerLeft,
 }
 
 impl RequestEnd {
-    /// The word in logs and metrics.
+    /// The label in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -76,88 +77,89 @@
     count: u64,
 }
 
-/// All figures of a process.
+/// All counters and histograms of a process.
 #[derive(Debug, Default)]
 pub struct EntryMetrics {
     requests: collections::BTreeMap<(String, RequestEnd), u64>,
     latency: collections::BTreeMap<String, Histogram>,
     store_calls: collections::BTreeMap<(&'static str, &'static str, &'static str), u64>,
     over_limit: collections::BTreeMap<String, u64>,
-    /// By what came of them: a few fixed words, and statuses of refusals.
+    /// Failed attempts by result: one of a few fixed labels, or the status of a refusal.
     offers_failed: collections::BTreeMap<String, u64>,
     /// Requests that the limits of their customers let through.
     pub within_limit: u64,
-    /// Requests offered to a second server.
+    /// Requests sent to a second server.
     pub repeats: u64,
-    /// Repeats that the budget did not allow.
+    /// Retries that the budget did not allow.
     pub repeats_denied: u64,
     /// Connections opened to servers.
     pub connections: u64,
-    /// Connections that did not come up.
+    /// Connections to servers that could not be opened.
     pub connect_failures: u64,
-    /// Requests that a server turned away unrun.
+    /// Requests that a server rejected without running them.
     pub shed: u64,
-    /// Servers that ended with requests of this host in hand.
+    /// Servers that crashed while processing requests of this host.
     pub servers_ended: u64,
-    /// Answers in which a server said something of itself that could not be understood.
+    /// Answers with a header about the server's condition that could not be parsed.
     pub words_unreadable: u64,
-    /// Requests for which servers asked this host for rest.
+    /// Requests for which servers asked this host to back off.
     pub rests: u64,
-    /// Requests sent to servers that leave, since no other might serve them.
+    /// Requests sent to leaving servers, since no other server could serve them.
     pub sent_to_leaving: u64,
-    /// Rights to send to servers that name limits, as they were given to this host.
+    /// Send tokens for servers with an advertised limit that were granted to this host.
     pub send_rights: u64,
-    /// Such rights that there were none of.
+    /// Send tokens that were denied to this host.
     pub send_rights_denied: u64,
-    /// Questions for such rights that nobody answered in time, or that met no keeper.
+    /// Requests for send tokens that were not answered in time, or that had no coordinator to ask.
     pub send_rights_unanswered: u64,
-    /// Hosts that others told of and that were not known here.
+    /// Hosts that others reported and that were unknown here.
     pub unknown_hosts_told: u64,
-    /// Bytes sent to other hosts: datagrams, and answers to what they fetch.
+    /// Bytes sent to other hosts: datagrams, and answers to fetches.
     pub peer_bytes_sent: u64,
     /// Answers dropped because they belonged to another request or broke the protocol.
     pub answers_dropped: u64,
 }
 
-/// Figures that are read when the page is made.
+/// Gauges that are read when the page is built.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CurrentFigures {
-    /// The configuration in force; 0 for none.
+    /// Version of the active configuration; 0 for none.
     pub configuration_version: u64,
-    /// How old the view of it is, in milliseconds; `None` before there is any, and then there is no line.
+    /// Age of the view of the configuration, in milliseconds; `None` before there is any, and the
+    /// metric is then omitted.
     pub configuration_age_ms: Option<u64>,
-    /// Backend servers known.
+    /// Known backend servers.
     pub servers: usize,
-    /// How often a server was put into the ways to find it.
+    /// How often a server was inserted into the indexes.
     pub servers_indexed: u64,
-    /// Other entry hosts known.
+    /// Other known entry hosts.
     pub peers: usize,
-    /// Hosts that this one divides limits by; 0 before it has lent its first part.
+    /// Hosts among which this one divides limits; 0 before it has leased its first share.
     pub limit_hosts: u32,
-    /// Requests under which servers ended that all hosts know, and what was cleared lately.
+    /// Suspect requests that all hosts know, including recently cleared ones.
     pub suspects: u32,
-    /// Requests that are kept from all servers.
+    /// Requests that are blocked from all servers.
     pub barred_requests: usize,
-    /// The store's era, as far as this host knows; 0 where it tells none.
+    /// The epoch of the store as known to this host; 0 if the store reports none.
     pub store_era: u64,
-    /// Servers that name a limit.
+    /// Servers that advertise a limit.
     pub limited_servers: usize,
-    /// Servers that said that they leave, or were said to.
+    /// Servers that have announced that they leave, themselves or through others.
     pub leaving_servers: usize,
-    /// Servers that want no requests from this host now.
+    /// Servers that have asked this host to back off for now.
     pub resting_servers: usize,
     /// Idle connections to servers.
     pub idle_connections: usize,
-    /// Requests being served.
+    /// Requests in flight.
     pub open_requests: u32,
-    /// Log lines left out.
+    /// Log lines that were suppressed.
     pub log_left_out: u64,
-    /// Log lines dropped.
+    /// Log lines that were dropped.
     pub log_dropped: u64,
 }
 
 impl EntryMetrics {
-    /// A request ended.
+    /// Counts a completed request.
     pub fn on_request(&mut self, route: &str, end: RequestEnd, millis: u64) {
         let key = (route.to_owned(), end);
         *self.requests.entry(key).or_default() += 1;
@@ -169,7 +171,7 @@
         }
     }
 
-    /// A request of `customer` was refused, since it would go beyond the limit.
+    /// Counts a request of `customer` that was refused because of its limit.
     pub fn on_over_limit(&mut self, customer: &str) {
         let is_named = self.over_limit.contains_key(customer);
         let name = if is_named || self.over_limit.len() < NAMED_CUSTOMERS {
@@ -180,7 +182,7 @@
         *self.over_limit.entry(name.to_owned()).or_default() += 1;
     }
 
-    /// An offer to a server brought no answer, for the reason `result`.
+    /// Counts an attempt at a server that failed with `result`.
     pub fn on_offer_failed(&mut self, result: &str) {
         if let Some(count) = self.offers_failed.get_mut(result) {
             *count += 1;
@@ -189,13 +191,13 @@
         }
     }
 
-    /// A call to the store ended.
+    /// Counts a call to the store.
     pub fn on_store_call(&mut self, kind: ObjectKind, call: &'static str, result: &'static str) {
         let key = (kind.as_str(), call, result);
         *self.store_calls.entry(key).or_default() += 1;
     }
 
-    /// The page, in the text form that metrics collectors read.
+    /// The page in the text format that metrics collectors read.
     #[must_use]
     pub fn page(&self, current: &CurrentFigures) -> String {
         let mut page = String::with_capacity(4_096);
@@ -227,7 +229,7 @@
             );
         }
         for (customer, count) in &self.over_limit {
-            // Names of customers may hold quotation marks.
+            // Names of customers may contain quotation marks.
             let labels = format!("customer={customer:?}");
             line(
                 &mut page,
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -1,4 +1,4 @@
-//! What a host tells other hosts of itself and of what it knows.
+//! What a host reports to other hosts about itself and its state.
 
 use std::collections;
 
@@ -9,7 +9,7 @@
 use super::wire::WireProtocol;
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// This run of this host, for the others.
+    /// The record of this run of the host.
     #[must_use]
     pub fn record(&self) -> HostRecord {
         let settings = self.settings();
@@ -23,13 +23,13 @@
             caller_address: settings.caller_address,
             peer_address: settings.peer_address,
             heartbeat_address,
-            // The share of a core is checked to be small.
+            // The settings limit the share of a core, so the product fits.
             processor_milli: (settings.processor_share * 1_000.0) as u32,
             region_hosts: self.peers.borrow().told_region_size(&settings.region),
         }
     }
 
-    /// What the other hosts are told; `whole` adds the host's record.
+    /// The heartbeat for the other hosts; `whole` adds the host's record.
     #[must_use]
     pub fn heartbeat(&self, whole: bool) -> PeerHeartbeat {
         let evacuations = self.evacuations.borrow();
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The changes of servers past the store's count `since`; `None` when this host does not know
-    /// them any more.
+    /// The server changes after the store revision `since`; `None` when this host no longer knows
+    /// them.
     #[must_use]
     pub fn fleet_news_since(&self, since: u64) -> Option<FleetNews> {
         let fleet = self.fleet.borrow();
@@ -85,13 +85,13 @@
             .collect()
     }
 
-    /// How many hosts each region has, this one included.
+    /// The number of hosts in each region, including this one.
     pub(super) fn hosts_by_region(&self) -> collections::BTreeMap<String, u32> {
         let settings = self.settings();
         self.peers.borrow().hosts_by_region(&settings.region)
     }
 
-    /// All that another host may want to know.
+    /// A snapshot of everything that other hosts may need.
     #[must_use]
     pub fn snapshot(&self) -> PeerSnapshot {
         let fleet = self.fleet.borrow();
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry host behind a platform: JSON with comments, checked as a whole.
+//! The settings of an entry host behind a platform: JSON with comments, validated as a whole.
 
 use std::{collections, net, path, time};
 
@@ -7,33 +7,33 @@
 use crate::object_reader;
 use crate::source;
 
-/// What a host's link carries where the settings do not tell, in Mbit/s: the common slow one.
+/// Default bandwidth of a host's link, in Mbit/s: that of the common slow link.
 const DEFAULT_LINK_MBPS: u32 = 100;
 
-/// Everything that one process is told at its start and when its settings change.
+/// The settings of one process, read at its start and whenever the file changes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntrySettings {
     /// The host's name.
     pub name: String,
-    /// The hall that it stands in.
+    /// The hall of the host.
     pub hall: String,
-    /// The region that it stands in.
+    /// The region of the host.
     pub region: String,
     /// The region of each hall.
     pub halls: HallMap,
     /// Where callers connect.
     pub caller_address: net::SocketAddr,
-    /// Where the platform asks whether the host is ready.
+    /// Where the platform checks whether the host is ready.
     pub readiness_address: net::SocketAddr,
-    /// Where callers ask which hosts there are.
+    /// Where callers look up hosts.
     pub lookup_address: net::SocketAddr,
-    /// Where other entry hosts fetch what this one knows, and metrics are read.
+    /// Where other entry hosts fetch this host's state, and where metrics are read.
     pub peer_address: net::SocketAddr,
     /// The UDP port of heartbeats, the same on all hosts.
     pub heartbeat_port: u16,
-    /// Peer addresses of some hosts to begin with; they may be out of date.
+    /// Peer addresses of some hosts to contact first; they may be out of date.
     pub seeds: Vec<net::SocketAddr>,
-    /// Whether the system as a whole starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub first_start: bool,
     /// The platform's object store.
     pub store_address: net::SocketAddr,
@@ -41,23 +41,23 @@
     pub memory_bytes: u64,
     /// File descriptors that the process may use.
     pub descriptors: u32,
-    /// What the host's link carries, in Mbit/s.
+    /// Bandwidth of the host's link, in Mbit/s.
     pub link_mbps: u32,
-    /// The part of a core that the host has; small hosts get fewer callers.
+    /// The host's share of a core; small hosts get fewer callers.
     pub processor_share: f64,
-    /// The limits that all hosts keep together.
+    /// The limits that apply to all hosts together.
     pub bounds: SharedBounds,
 }
 
 impl EntrySettings {
-    /// The addresses of seeds beside this host.
+    /// The addresses of the seeds other than this host.
     pub fn other_seeds(&self) -> impl Iterator<Item = net::IpAddr> {
         let own = self.peer_address.ip();
         let seeds = self.seeds.iter().map(net::SocketAddr::ip);
         seeds.filter(move |seed| *seed != own)
     }
 
-    /// Whether there are any.
+    /// Whether there are seeds other than this host.
     #[must_use]
     pub fn has_other_seeds(&self) -> bool {
         self.other_seeds().next().is_some()
@@ -76,19 +76,19 @@
         self.regions.keys().map(String::as_str)
     }
 
-    /// Whether the settings name `hall`.
+    /// Whether the settings contain `hall`.
     #[must_use]
     pub fn has(&self, hall: &str) -> bool {
         self.regions.contains_key(hall)
     }
 
-    /// The names of all regions, each once.
+    /// The names of all regions, without duplicates.
     #[must_use]
     pub fn regions(&self) -> collections::BTreeSet<&str> {
         self.regions.values().map(String::as_str).collect()
     }
 
-    /// The region of `hall`; empty for one that the settings do not name.
+    /// The region of `hall`; empty if the settings do not contain it.
     #[must_use]
     pub fn region_of(&self, hall: &str) -> &str {
         self.regions.get(hall).map_or("", String::as_str)
@@ -108,28 +108,29 @@
 pub struct SharedBounds {
     /// A host that is told to stop is killed after this time.
     pub stop_grace: time::Duration,
-    /// A server that leaves serves on for at least this long after the store has taken the word.
+    /// The shortest time for which a leaving server serves after the store has received its
+    /// announcement.
     pub leave_time: time::Duration,
-    /// A look-up's answer counts no longer than this.
+    /// The longest time for which a lookup answer may be valid.
     pub time_to_live_max: time::Duration,
-    /// Requests sent again, as a share of all requests.
+    /// Retries as a share of all requests.
     pub retry_ratio: f64,
     /// The window over which retries are counted.
     pub retry_window: time::Duration,
-    /// Retries in a window that are allowed beside the share.
+    /// Retries in a window that are allowed in addition to the share.
     pub retry_slack: f64,
-    /// A cold server may get this many times its own limit.
+    /// A cold server may get this multiple of its own limit.
     pub cold_factor: f64,
-    /// And this many requests a second beside.
+    /// Requests per second that a cold server may get in addition.
     pub cold_slack: f64,
     /// The window over which customers' limits are counted.
     pub limit_window: time::Duration,
-    /// What may go beyond a customer's limit, as a share of it.
+    /// How far a customer's limit may be exceeded, as a share of the limit.
     pub limit_excess: f64,
-    /// And this many requests in a window beside.
+    /// Requests in a window that are allowed in addition.
     pub limit_slack: f64,
-    /// Of a service's requests, the part that a bad version may get while traffic is moved to it. `None` where the
-    /// platform orders no such moves.
+    /// The share of a service's requests that a bad version may get while traffic moves to it.
+    /// `None` if the platform has no rollouts.
     pub canary_share: Option<f64>,
 }
 
@@ -144,7 +145,7 @@
 /// Reads a settings file.
 ///
 /// # Errors
-/// `FileUnreadable`, or `Rejected` with every fault.
+/// `FileUnreadable`, or `Rejected` with every error.
 pub fn from_file(file: &path::Path) -> error::Result<EntrySettings> {
     from_source(&source::SourceText::from_file(file)?)
 }
@@ -152,7 +153,7 @@
 /// Reads settings from text.
 ///
 /// # Errors
-/// `Rejected` with every fault.
+/// `Rejected` with every error.
 pub fn from_source(text: &source::SourceText) -> error::Result<EntrySettings> {
     object_reader::read_whole(text, read_settings)
 }
@@ -185,8 +186,8 @@
     }
 }
 
-/// A bound that the platform does not set gets a cautious figure: no retries beyond a tenth, cold
-/// servers no more than they declare.
+/// Reads the limits. Those that the platform does not set get conservative defaults: at most a
+/// tenth of all requests are retries, and cold servers get no more than they declare.
 fn read_bounds(reader: &mut object_reader::ObjectReader<'_, '_>) -> SharedBounds {
     const STOP_GRACE: time::Duration = time::Duration::from_secs(5);
     const LEAVE_TIME: time::Duration = time::Duration::from_millis(lapse_hold::DEFAULT_LEAVE_MS);
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -1,4 +1,5 @@
-//! How a host stops: it serves on while callers may still come, but not past its grace.
+//! Stops a host: it continues to serve while callers may still send requests, but no longer than
+//! its grace period.
 
 use std::{cell, time};
 
@@ -9,16 +10,16 @@
 use crate::event::EventCode;
 use crate::timer::Moment;
 
-/// Time kept free at the end of the stop grace, for the exit itself.
+/// Time reserved at the end of the grace period for the exit itself.
 const STOP_MARGIN: time::Duration = time::Duration::from_millis(250);
-/// A stopping host takes any request in this first part of its grace, one half; later only those
-/// that are sure to end before it does.
+/// The grace period divided by this is its first part, in which a stopping host accepts any
+/// request. Later it accepts only requests that are certain to complete before it stops.
 const OPEN_SHARE_OF_GRACE: u32 = 2;
-/// A host that was told to stop and has had no request for this long, in milliseconds, ends early.
-/// Longer than the time for which callers keep a look-up's answer.
+/// A host that was told to stop exits early after this time without requests, in milliseconds. It
+/// is longer than callers cache a lookup answer.
 const QUIET_BEFORE_STOP_MS: u64 = 2_500;
 
-/// What a host must know to stop at the right time.
+/// The state from which a host decides when to stop.
 #[derive(Debug, Default)]
 pub struct StopState {
     leaving_since: cell::Cell<Option<Moment>>,
@@ -27,19 +28,19 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// A caller's request begins.
+    /// Records the start of a caller's request.
     pub fn on_request_begin(&self) {
         self.stop.open_requests.set(self.open_requests() + 1);
         self.stop.last_request.set(self.now());
     }
 
-    /// A caller's request has ended, however.
+    /// Records the completion of a caller's request, whatever its outcome.
     pub fn on_request_end(&self) {
         let others = self.open_requests().saturating_sub(1);
         self.stop.open_requests.set(others);
     }
 
-    /// Callers' requests that this host holds.
+    /// The number of callers' requests in flight.
     #[must_use]
     pub fn open_requests(&self) -> u32 {
         self.stop.open_requests.get()
@@ -51,7 +52,7 @@
         self.stop.leaving_since.get().is_some()
     }
 
-    /// The process was told to stop.
+    /// Records that the process was told to stop.
     pub(super) fn on_leaving(&self) {
         self.stop.leaving_since.set(Some(self.now()));
         self.note(
@@ -60,7 +61,7 @@
         );
     }
 
-    /// Whether a request that may take until `deadline` would outlast this host.
+    /// Whether this host may stop before a request with this deadline completes.
     #[must_use]
     pub fn ends_before(&self, deadline: Moment) -> bool {
         let Some(since) = self.stop.leaving_since.get() else {
@@ -71,7 +72,7 @@
         self.now() >= open_until && deadline >= self.stop_limit(since)
     }
 
-    /// Whether the process may end now.
+    /// Whether the process may exit now.
     #[must_use]
     pub(super) fn may_stop(&self) -> bool {
         let Some(since) = self.stop.leaving_since.get() else {
