--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -1,6 +1,6 @@
-//! How long hosts that all start at once wait for what they need to serve: many hosts in a
-//! simulation with link speeds, no sockets. Load pattern: every host of a fleet lost power and
-//! starts again within 0.3 s; the seeds read the store, all others ask them.
+//! Simulates how long hosts that all start at once wait until they can serve: many hosts with link
+//! speeds, no sockets. All hosts of a fleet have lost power and start again within 0.3 s. The seed
+//! reads the store, and all others send it join requests.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -14,16 +14,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-/// What a host needs, in bytes: some thousand servers and some routes.
+/// Size of a snapshot in bytes: some thousand servers and some routes.
 const BYTES: usize = 100_000;
-/// When the seed knows everything, in milliseconds.
+/// When the seed is ready, in milliseconds.
 const SEED_READY_MS: u64 = 200;
-/// One way within a region.
+/// One-way latency within a region, in milliseconds.
 const WAY_MS: u64 = 1;
 const FAST_MBPS: u32 = 200;
 const SLOW_MBPS: u32 = 20;
 
-/// Who serves whom in a simulated start.
+/// Which hosts send snapshots in the simulation.
 #[derive(Clone, Copy, PartialEq)]
 enum Spread {
     /// As [`JoinRole`] decides.
@@ -36,22 +36,22 @@
     question: JoinQuestion,
     role: JoinRole,
     parked: ParkedQuestions<usize>,
-    /// When it has everything.
+    /// When the host has received the snapshot.
     complete: Option<u64>,
-    /// Until when its link sends what it has begun.
+    /// Until when its link is busy with transfers.
     busy_until: u64,
     served: usize,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
-    /// `joiner`'s question reaches `asked`.
+    /// `joiner`'s join request reaches `asked`.
     Question {
         asked: usize,
         joiner: usize,
         hops: u8,
     },
-    /// A host has everything.
+    /// A host has received the snapshot.
     Complete(usize),
 }
 
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Plays to the end; the times at which hosts had everything, in order.
+    /// Runs the simulation; returns the sorted times at which hosts were complete.
     fn run(mut self) -> Vec<u64> {
         while let Some(Reverse((now, event))) = self.events.pop() {
             match event {
@@ -175,7 +175,7 @@
                     joiner,
                     hops: question.hops + 1,
                 };
-                // The answer, and a connection to the other.
+                // The answer, and a connection to the other host.
                 self.events.push(Reverse((now + 4 * WAY_MS, question)));
             }
         }
@@ -198,7 +198,7 @@
     BYTES as u64 * 8 / (u64::from(link_mbps) * 1_000)
 }
 
-/// How long half and nine in ten of the hosts wait after the seed knows everything.
+/// How long 50% and 90% of the hosts wait after the seed is ready.
 fn waits(count: usize, spread: Spread, seed: u64) -> (u64, u64) {
     let complete = Simulation::of(count, spread, seed).run();
     let after = |share: f64| complete[(count as f64 * share) as usize] - SEED_READY_MS;
@@ -229,7 +229,8 @@
     }
 }
 
-/// What the rule is for: the seed's link alone takes time that grows with the hosts.
+/// Shows why redirects are needed: with the seed's link alone the time grows with the number of
+/// hosts.
 #[test]
 fn a_seed_alone_would_take_far_longer() {
     let (_, named) = waits(480, Spread::Named, 1);
@@ -246,7 +247,7 @@
         let decision = role.decide(&question, BYTES, FAST_MBPS, Moment(5));
         served += usize::from(decision == JoinDecision::Serve);
     }
-    // Links of 3 hosts as fast as its own and of 22 slow ones take the others.
+    // The links of 3 hosts as fast as its own and of 22 slow ones serve the others.
     assert!((25..=110).contains(&served), "{served}");
 }
 
--- a/tests/entry_restart.rs
+++ b/tests/entry_restart.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under the identity that they had.
+//! Tests of servers that restart under the same identity.
 
 #[path = "common/seeded.rs"]
 mod seeded;
@@ -98,7 +98,7 @@
         assert!(changes.is_empty(), "{changes:?}");
         assert!(Rc::ptr_eq(&server, &only(&fleet)));
     }
-    // A later start is taken in although its entry was told late, under a lower count.
+    // A later incarnation is accepted although its entry arrives late, with a lower revision.
     let mut fleet = Fleet::default();
     let listed = [object(Some(100), 30)];
     fleet.on_list(&listed, 30, MissingSource::Store, &halls(), Moment(0));
@@ -112,7 +112,7 @@
     let server = only(&fleet);
     assert!(show(&mut fleet, object(None, 9), false, 1).is_empty());
     assert!(Rc::ptr_eq(&server, &only(&fleet)));
-    // One that tells its start was started anew by a newer program.
+    // An entry with an incarnation comes from a restart with a newer program.
     let changes = show(&mut fleet, object(Some(1), 10), false, 2);
     assert_eq!(changes, [FleetChange::Restarted("a".to_owned())]);
     let server = only(&fleet);
@@ -127,7 +127,7 @@
     let mut fleet = fleet(Some(100));
     show(&mut fleet, object(Some(100), 40), true, 1);
     assert!(fleet.of_service("desk").is_empty());
-    // Told late, from before the count by which the former start was known to be gone.
+    // Reported late, with a revision from before the former incarnation was removed.
     let span = ChangeSpan {
         until: 41,
         contiguous: false,
@@ -186,7 +186,7 @@
 proptest! {
     #![proptest_config(seeded::config())]
 
-    /// In whatever order and under whatever counts entries come, the latest start is the one in force.
+    /// The latest incarnation wins, whatever the order and the revisions of the entries.
     #[test]
     fn the_latest_start_wins_in_any_order(starts in prop::collection::vec((1_u64..6, 6_u64..40), 1..8)) {
         let mut fleet = fleet(Some(1));
