--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -30,29 +30,29 @@
 
 /// A host that learns of newer state waits a random part of this time before it fetches it, in
 /// milliseconds: hosts don't all ask the same source, and updates in transit arrive first.
-const SPREAD_MS: u64 = 150;
+const JITTER_MS: u64 = 150;
 /// The additional wait for newer servers, in milliseconds: the watchers of the own region see the
 /// same change at about the same time and forward it without a request.
-const NEWS_MS: u64 = 250;
+const UPDATE_WAIT_MS: u64 = 250;
 /// Timeout of a fetch: two round trips between the most distant regions and the largest answer over
 /// a slow link.
-const FETCH_LIMIT: time::Duration = time::Duration::from_secs(1);
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 /// If the first source has not answered by then, a second one is asked as well. An update whose
 /// datagram was lost and whose first source hangs is then known 1.7 s after the change instead of
 /// 3.2 s, by the sum of the constants; a leaving server serves for at least 2 s. The largest
 /// answers in use should take a tenth of a second over a link of 10 Mbit/s.
-const SECOND_AFTER: time::Duration = time::Duration::from_millis(400);
+const HEDGE_DELAY: time::Duration = time::Duration::from_millis(400);
 /// The largest answer that is read, in bytes: some hundred servers and some thousand routes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 /// A kind of state that can be fetched from another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NewsKind {
+enum FetchKind {
     Configuration,
     Servers,
     Quarantine,
 }
 
-impl NewsKind {
+impl FetchKind {
     const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Quarantine];
 
     /// Whether `heartbeat` advertises newer state than this host has.
@@ -65,10 +65,10 @@
     }
 
     /// How long to wait for an update in transit before fetching it, in milliseconds.
-    const fn patience_ms(self) -> u64 {
+    const fn delay_ms(self) -> u64 {
         match self {
             Self::Configuration => 0,
-            Self::Servers | Self::Quarantine => NEWS_MS,
+            Self::Servers | Self::Quarantine => UPDATE_WAIT_MS,
         }
     }
 }
@@ -83,18 +83,18 @@
 }
 
 impl OpenFetches {
-    const fn of(&self, kind: NewsKind) -> &cell::Cell<bool> {
+    const fn of(&self, kind: FetchKind) -> &cell::Cell<bool> {
         match kind {
-            NewsKind::Configuration => &self.configuration,
-            NewsKind::Servers => &self.servers,
-            NewsKind::Quarantine => &self.quarantine,
+            FetchKind::Configuration => &self.configuration,
+            FetchKind::Servers => &self.servers,
+            FetchKind::Quarantine => &self.quarantine,
         }
     }
 }
 
 /// Fetches what a peer's heartbeat shows to be missing, unless a fetch of that kind is in flight.
 pub fn on_heartbeat<W: WireProtocol>(host: &rc::Rc<EntryHost<W>>, heartbeat: &PeerHeartbeat) {
-    let missing = NewsKind::ALL
+    let missing = FetchKind::ALL
         .into_iter()
         .filter(|kind| kind.is_missing(host, heartbeat));
     for kind in missing {
@@ -110,34 +110,34 @@
 
 async fn fetch_after_wait<W: WireProtocol>(
     host: rc::Rc<EntryHost<W>>,
-    kind: NewsKind,
+    kind: FetchKind,
     heartbeat: PeerHeartbeat,
     source: net::SocketAddr,
 ) {
-    let spread_ms = host.random.borrow_mut().random_range(0..SPREAD_MS);
-    let wait = time::Duration::from_millis(spread_ms + kind.patience_ms());
+    let jitter_ms = host.random.borrow_mut().random_range(0..JITTER_MS);
+    let wait = time::Duration::from_millis(jitter_ms + kind.delay_ms());
     tokio::time::sleep(wait).await;
     if kind.is_missing(&host, &heartbeat) {
-        fetch_from_either(&host, kind, source).await;
+        fetch_hedged(&host, kind, source).await;
     }
     host.fetches.of(kind).set(false);
 }
 
 /// Asks `source`, and another host as well if `source` fails or does not answer for a while.
-async fn fetch_from_either<W: WireProtocol>(
+async fn fetch_hedged<W: WireProtocol>(
     host: &EntryHost<W>,
-    kind: NewsKind,
+    kind: FetchKind,
     source: net::SocketAddr,
 ) {
-    let mut first = std::pin::pin!(fetch_news(host, kind, source));
-    let first_answer = tokio::time::timeout(SECOND_AFTER, first.as_mut()).await;
-    if first_answer == Ok(FetchEnd::Answered) {
+    let mut first = std::pin::pin!(fetch_kind(host, kind, source));
+    let first_answer = tokio::time::timeout(HEDGE_DELAY, first.as_mut()).await;
+    if first_answer == Ok(FetchOutcome::Answered) {
         return;
     }
     let second = async {
         match other_source(host, source) {
-            Some(other) => fetch_news(host, kind, other).await,
-            None => FetchEnd::Silent,
+            Some(other) => fetch_kind(host, kind, other).await,
+            None => FetchOutcome::Failed,
         }
     };
     if first_answer.is_ok() {
@@ -145,8 +145,8 @@
         return;
     }
     tokio::select! {
-        FetchEnd::Answered = first => {}
-        FetchEnd::Answered = second => {}
+        FetchOutcome::Answered = first => {}
+        FetchOutcome::Answered = second => {}
         // The next heartbeat starts another fetch.
         else => {}
     }
@@ -162,71 +162,77 @@
     peers.other_source(region, source, host.now(), &mut random)
 }
 
-async fn fetch_news<W: WireProtocol>(
+async fn fetch_kind<W: WireProtocol>(
     host: &EntryHost<W>,
-    kind: NewsKind,
+    kind: FetchKind,
     source: net::SocketAddr,
-) -> FetchEnd {
+) -> FetchOutcome {
     match kind {
-        NewsKind::Configuration => fetch_configuration(host, source).await,
-        NewsKind::Servers => fetch_changes(host, source).await,
-        NewsKind::Quarantine => fetch_suspects(host, source).await,
+        FetchKind::Configuration => fetch_configuration(host, source).await,
+        FetchKind::Servers => fetch_changes(host, source).await,
+        FetchKind::Quarantine => fetch_suspects(host, source).await,
     }
 }
 
 /// The outcome of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum FetchEnd {
+enum FetchOutcome {
     /// The other host sent its state.
     Answered,
     /// The other host did not answer, or its answer could not be decoded; the log says which.
-    Silent,
+    Failed,
 }
 
-impl FetchEnd {
+impl FetchOutcome {
     const fn of<T>(fetched: Option<&T>) -> Self {
         match fetched {
             Some(_) => Self::Answered,
-            None => Self::Silent,
+            None => Self::Failed,
         }
     }
 }
 
 /// Fetches the server changes since the known revision, or a whole snapshot if the changes are not
 /// available.
-async fn fetch_changes<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
+async fn fetch_changes<W: WireProtocol>(
+    host: &EntryHost<W>,
+    source: net::SocketAddr,
+) -> FetchOutcome {
     let revision = host.fleet.borrow().revision();
     if !host.fleet.borrow().is_listed() {
         return fetch_snapshot(host, source).await;
     }
     let path = format!("{CHANGES_PATH}{revision}");
     match fetch::<W, Option<FleetNews>>(host, source, &path).await {
-        Some(Some(news)) => {
-            gossip::on_fleet_news(host, &news);
-            FetchEnd::Answered
+        Some(Some(update)) => {
+            gossip::on_fleet_news(host, &update);
+            FetchOutcome::Answered
         }
         Some(None) => fetch_snapshot(host, source).await,
-        None => FetchEnd::Silent,
+        None => FetchOutcome::Failed,
     }
 }
 
-async fn fetch_snapshot<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
+async fn fetch_snapshot<W: WireProtocol>(
+    host: &EntryHost<W>,
+    source: net::SocketAddr,
+) -> FetchOutcome {
     match fetch::<W, JoinAnswer>(host, source, SNAPSHOT_PATH).await {
         Some(JoinAnswer::Snapshot(packed)) => {
             let snapshot = packed.snapshot();
             if let Some(snapshot) = &snapshot {
-                take_over(host, snapshot, source);
+                apply_snapshot(host, snapshot, source);
             }
-            FetchEnd::of(snapshot.as_ref())
+            FetchOutcome::of(snapshot.as_ref())
         }
-        Some(JoinAnswer::Ask(_)) | None => FetchEnd::Silent,
+        Some(JoinAnswer::Ask(_)) | None => FetchOutcome::Failed,
     }
 }
 
 async fn fetch_configuration<W: WireProtocol>(
     host: &EntryHost<W>,
     source: net::SocketAddr,
-) -> FetchEnd {
+) -> FetchOutcome {
     let fetched = fetch::<W, Option<ServiceConfiguration>>(host, source, CONFIGURATION_PATH).await;
     if let Some(Some(configuration)) = &fetched {
         let before = host.configuration_version();
@@ -235,15 +241,18 @@
             gossip::pass_on_configuration(host);
         }
     }
-    FetchEnd::of(fetched.as_ref())
+    FetchOutcome::of(fetched.as_ref())
 }
 
-async fn fetch_suspects<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
+async fn fetch_suspects<W: WireProtocol>(
+    host: &EntryHost<W>,
+    source: net::SocketAddr,
+) -> FetchOutcome {
     let fetched = fetch::<W, Vec<SuspectRecord>>(host, source, SUSPECTS_PATH).await;
     if let Some(records) = &fetched {
         host.on_suspects_told(records, &source.to_string());
     }
-    FetchEnd::of(fetched.as_ref())
+    FetchOutcome::of(fetched.as_ref())
 }
 
 async fn fetch<W: WireProtocol, T: serde::de::DeserializeOwned>(
@@ -256,7 +265,7 @@
         .header(http::header::HOST, "peer")
         .body(Full::new(Bytes::new()))
         .ok()?;
-    let answer = http_client::exchange(source, request, FETCH_LIMIT, MAX_ANSWER_BYTES).await;
+    let answer = http_client::exchange(source, request, FETCH_TIMEOUT, MAX_ANSWER_BYTES).await;
     let Ok(answer) = answer else {
         host.note(
             EventCode::PeerSilent,
@@ -273,7 +282,7 @@
     }
 }
 
-pub(super) fn take_over<W: WireProtocol>(
+pub(super) fn apply_snapshot<W: WireProtocol>(
     host: &EntryHost<W>,
     snapshot: &PeerSnapshot,
     source: net::SocketAddr,
@@ -292,8 +301,8 @@
     }
     if snapshot.fleet_revision > host.fleet.borrow().revision() {
         let objects: Vec<_> = snapshot.servers.objects().map(StoredObject::from).collect();
-        let told = ToldHolds::from_gone(&snapshot.kept, host.now());
-        let missing = MissingSource::Peer(&told);
+        let reported = ToldHolds::from_gone(&snapshot.kept, host.now());
+        let missing = MissingSource::Peer(&reported);
         host.on_server_list(&objects, snapshot.fleet_revision, missing, &source);
     }
     if snapshot.evacuation_revision > host.evacuation_revision() {
--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -26,24 +26,24 @@
 pub(super) const JOIN_PATH: &str = "/join";
 /// How long a host that is not ready holds a join request: about the time that the first host needs
 /// to read everything from the store. After that the requester tries another host.
-const PARK_LIMIT: time::Duration = time::Duration::from_millis(800);
+const PENDING_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 /// The largest join request, in bytes.
-const MAX_QUESTION_BYTES: usize = 4 * 1024;
+const MAX_REQUEST_BYTES: usize = 4 * 1024;
 /// How long an encoded snapshot is reused for other requesters, in milliseconds.
-const WRITTEN_VALID_MS: u64 = 100;
+const SNAPSHOT_REUSE_MS: u64 = 100;
 /// How long a request that arrives before this host can serve waits for that, in milliseconds: an
 /// eighth of the shortest goal in use, so that the answer can still be in time.
-const WAIT_MS: u64 = 250;
+const READY_WAIT_MS: u64 = 250;
 /// Requests wait only in this period after the start, in milliseconds. A host that has received
 /// nothing by then has no source to receive it from.
-const STARTING_MS: u64 = 2_000;
+const STARTUP_PERIOD_MS: u64 = 2_000;
 
 /// State for joining and for serving other hosts' join requests.
 #[derive(Debug, Default)]
 pub struct JoinState {
     role: cell::RefCell<JoinRole>,
-    parked: cell::RefCell<ParkedQuestions<oneshot::Sender<JoinDecision>>>,
-    written: cell::RefCell<Option<WrittenSnapshot>>,
+    pending: cell::RefCell<ParkedQuestions<oneshot::Sender<JoinDecision>>>,
+    encoded: cell::RefCell<Option<EncodedSnapshot>>,
     /// Whether this host is connected to a host that may send it a snapshot.
     pub(super) contact: cell::Cell<bool>,
     /// Newly discovered hosts that have not yet been announced to the others.
@@ -76,7 +76,7 @@
 
 /// An encoded snapshot, valid as long as its content has not changed.
 #[derive(Debug)]
-struct WrittenSnapshot {
+struct EncodedSnapshot {
     state: SnapshotState,
     at: Moment,
     bytes: Bytes,
@@ -109,10 +109,10 @@
             self.note(EventCode::KnowledgeComplete, fields);
             self.join.completed.notify_waiters();
         }
-        let parked = self.join.parked.borrow_mut().take();
-        for (question, asker) in parked {
+        let pending = self.join.pending.borrow_mut().take();
+        for (request, requester) in pending {
             // A requester that has given up sends its request again.
-            let _gone = asker.send(self.decide_join(&question));
+            let _gone = requester.send(self.decide_join(&request));
         }
     }
 
@@ -124,20 +124,21 @@
         }
         let completed = self.join.completed.notified();
         // The caller checks readiness itself, so the timeout needs no handling.
-        let _elapsed = tokio::time::timeout(time::Duration::from_millis(WAIT_MS), completed).await;
+        let _elapsed =
+            tokio::time::timeout(time::Duration::from_millis(READY_WAIT_MS), completed).await;
     }
 
     /// Whether this host has just started and cannot serve yet or only just can.
     pub(super) fn is_starting(&self) -> bool {
-        !self.is_leaving() && self.now().0 <= STARTING_MS
+        !self.is_leaving() && self.now().0 <= STARTUP_PERIOD_MS
     }
 
-    fn decide_join(&self, question: &JoinQuestion) -> JoinDecision {
-        let bytes = self.written_snapshot().map_or(0, |written| written.len());
+    fn decide_join(&self, request: &JoinQuestion) -> JoinDecision {
+        let bytes = self.written_snapshot().map_or(0, |encoded| encoded.len());
         let link_mbps = self.settings().link_mbps;
         let now = self.now();
         let mut role = self.join.role.borrow_mut();
-        role.decide(question, bytes, link_mbps, now)
+        role.decide(request, bytes, link_mbps, now)
     }
 
     /// The encoded snapshot of everything that this host knows. It is encoded once for many
@@ -148,19 +149,19 @@
     pub fn written_snapshot(&self) -> Result<Bytes, PeerFormatError> {
         let now = self.now();
         let state = self.snapshot_state();
-        let mut written = self.join.written.borrow_mut();
-        if let Some(written) = &*written
-            && written.state == state
-            && now.since(written.at) < WRITTEN_VALID_MS
+        let mut encoded = self.join.encoded.borrow_mut();
+        if let Some(encoded) = &*encoded
+            && encoded.state == state
+            && now.since(encoded.at) < SNAPSHOT_REUSE_MS
         {
-            return Ok(written.bytes.clone());
+            return Ok(encoded.bytes.clone());
         }
         let snapshot = self.snapshot();
         // The remaining retention of servers is sent as a duration, which shrinks over time.
         let is_fixed = snapshot.kept.is_empty();
         let answer = JoinAnswer::Snapshot(PackedSnapshot::from_snapshot(&snapshot)?);
         let bytes = Bytes::from(peer_message::to_bytes(&answer)?);
-        *written = is_fixed.then(|| WrittenSnapshot {
+        *encoded = is_fixed.then(|| EncodedSnapshot {
             state,
             at: now,
             bytes: bytes.clone(),
@@ -181,10 +182,10 @@
     /// Frees the encoded snapshot, which is needed only while other hosts start.
     pub(super) fn forget_written_snapshot(&self) {
         let now = self.now();
-        let mut written = self.join.written.borrow_mut();
-        let is_old = |written: &WrittenSnapshot| now.since(written.at) >= WRITTEN_VALID_MS;
-        if written.as_ref().is_some_and(is_old) {
-            *written = None;
+        let mut encoded = self.join.encoded.borrow_mut();
+        let is_old = |encoded: &EncodedSnapshot| now.since(encoded.at) >= SNAPSHOT_REUSE_MS;
+        if encoded.as_ref().is_some_and(is_old) {
+            *encoded = None;
         }
     }
 }
@@ -194,33 +195,33 @@
     host: &EntryHost<W>,
     body: Incoming,
 ) -> Option<Result<Bytes, PeerFormatError>> {
-    let body = Limited::new(body, MAX_QUESTION_BYTES).collect().await;
-    let question = match peer_message::from_bytes::<JoinQuestion>(&body.ok()?.to_bytes()) {
-        Ok(question) => question,
+    let body = Limited::new(body, MAX_REQUEST_BYTES).collect().await;
+    let request = match peer_message::from_bytes::<JoinQuestion>(&body.ok()?.to_bytes()) {
+        Ok(request) => request,
         Err(fault) => {
             host.note_malformed("a host that starts", &fault);
             return None;
         }
     };
-    on_asker(host, &question);
+    on_requester(host, &request);
     let decision = if host.is_ready() {
-        host.decide_join(&question)
+        host.decide_join(&request)
     } else {
-        park(host, question).await?
+        hold_until_ready(host, request).await?
     };
     match decision {
         JoinDecision::Serve => Some(host.written_snapshot()),
         JoinDecision::Ask(address) => {
-            let written = peer_message::to_bytes(&JoinAnswer::Ask(address));
-            Some(written.map(Bytes::from))
+            let encoded = peer_message::to_bytes(&JoinAnswer::Ask(address));
+            Some(encoded.map(Bytes::from))
         }
     }
 }
 
 /// Adds the requester to the known hosts, and announces it to the others unless this run of it is
 /// known already.
-fn on_asker<W: WireProtocol>(host: &EntryHost<W>, question: &JoinQuestion) {
-    let record = &question.record;
+fn on_requester<W: WireProtocol>(host: &EntryHost<W>, request: &JoinQuestion) {
+    let record = &request.record;
     if host.peers.borrow().run_of(&record.name) < record.run {
         host_gossip::learn_hosts(host, std::slice::from_ref(record));
         host.join.on_met(record.clone());
@@ -233,12 +234,15 @@
     host_gossip::spread_hosts(host, &met, &[]);
 }
 
-async fn park<W: WireProtocol>(
+async fn hold_until_ready<W: WireProtocol>(
     host: &EntryHost<W>,
-    question: JoinQuestion,
+    request: JoinQuestion,
 ) -> Option<JoinDecision> {
-    let (asker, decision) = oneshot::channel();
-    let parked = host.join.parked.borrow_mut().park(question, asker);
-    parked.ok()?;
-    tokio::time::timeout(PARK_LIMIT, decision).await.ok()?.ok()
+    let (requester, decision) = oneshot::channel();
+    let pending = host.join.pending.borrow_mut().park(request, requester);
+    pending.ok()?;
+    tokio::time::timeout(PENDING_TIMEOUT, decision)
+        .await
+        .ok()?
+        .ok()
 }
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_asking.rs
@@ -28,21 +28,21 @@
 
 /// The longest pause between two rounds of join requests, in milliseconds; the shortest is half of
 /// it. A process that starts at the same time listens within about ten milliseconds.
-const ROUND_PAUSE_MS: u64 = 60;
+const MAX_ROUND_PAUSE_MS: u64 = 60;
 /// Timeout for opening a connection. The round trip between the most distant regions takes 70 ms.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(400);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// Timeout for an answer: the time for which the other host holds a request and the transfer over a
 /// slow link.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(1_300);
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_300);
 /// If the first host has not answered by then, a second one is asked as well, since the first may
 /// hang.
-const SECOND_AFTER: time::Duration = time::Duration::from_millis(500);
+const HEDGE_DELAY: time::Duration = time::Duration::from_millis(500);
 /// A starting host looks up registered hosts in the store after a random delay in this range, in
 /// milliseconds. By then a running seed has answered, and the delay spreads the calls of 295 hosts
 /// that start at once.
-const KEEPERS_AFTER_MS: std::ops::Range<u64> = 30..80;
+const STORE_LOOKUP_DELAY_MS: std::ops::Range<u64> = 30..80;
 /// Known hosts that are asked in addition to the seeds when no seed helped.
-const OTHER_SOURCES: usize = 3;
+const MAX_OTHER_SOURCES: usize = 3;
 /// The largest answer, in bytes: some thousand servers and some thousand routes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
@@ -52,23 +52,26 @@
     store: &rc::Rc<S>,
 ) {
     tokio::task::spawn_local(run(rc::Rc::clone(host)));
-    tokio::task::spawn_local(ask_keepers(rc::Rc::clone(host), rc::Rc::clone(store)));
+    tokio::task::spawn_local(ask_registered_hosts(
+        rc::Rc::clone(host),
+        rc::Rc::clone(store),
+    ));
 }
 
 /// Asks the registered hosts of the own hall if no seed has helped by then: the seeds may start
 /// last, or not at all. When 295 hosts returned at once, this reduced the store calls from 1,729 to
 /// 1,414. It saved no time: half of the hosts were complete after 0.52 s with and without it.
-async fn ask_keepers<W: WireProtocol, S: ObjectStore>(
+async fn ask_registered_hosts<W: WireProtocol, S: ObjectStore>(
     host: rc::Rc<EntryHost<W>>,
     store: rc::Rc<S>,
 ) {
-    let pause_ms = host.random.borrow_mut().random_range(KEEPERS_AFTER_MS);
+    let pause_ms = host.random.borrow_mut().random_range(STORE_LOOKUP_DELAY_MS);
     tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
     // On the first start of the system there are no entries.
     if host.is_ready() || host.settings().first_start {
         return;
     }
-    let listed = tokio::time::timeout(ANSWER_LIMIT, store.list_hosts_stale()).await;
+    let listed = tokio::time::timeout(ANSWER_TIMEOUT, store.list_hosts_stale()).await;
     match listed.unwrap_or(Err(StoreFault::Unreachable)) {
         Ok(records) => host_gossip::learn_hosts(&host, &records),
         Err(fault) => {
@@ -80,25 +83,25 @@
     }
     let own = host.record();
     while !host.is_ready() && !host.is_leaving() && host.is_starting() {
-        let keepers = host.peers.borrow().hall_keepers(&own);
-        join_once(&host, &keepers).await;
-        tokio::time::sleep(time::Duration::from_millis(ROUND_PAUSE_MS)).await;
+        let registered = host.peers.borrow().hall_keepers(&own);
+        join_once(&host, &registered).await;
+        tokio::time::sleep(time::Duration::from_millis(MAX_ROUND_PAUSE_MS)).await;
     }
 }
 
 /// Sends join requests until this host can serve, whichever host sends the state.
 async fn run<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
-    let mut avoided = None;
+    let mut failed_source = None;
     while !host.is_ready() && !host.is_leaving() {
-        let sources = sources_of(&host, avoided);
-        avoided = join_once(&host, &sources).await;
-        if avoided.is_some() {
+        let sources = sources_of(&host, failed_source);
+        failed_source = join_once(&host, &sources).await;
+        if failed_source.is_some() {
             host.join.contact.set(false);
         }
         if host.is_ready() {
             break;
         }
-        let longest = ROUND_PAUSE_MS;
+        let longest = MAX_ROUND_PAUSE_MS;
         let pause_ms = host.random.borrow_mut().random_range(longest / 2..=longest);
         tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
     }
@@ -122,17 +125,17 @@
         let asked = join_once(&host, &[source]).await;
         host.join.asks_heard.set(false);
         if asked.is_none() && host.is_ready() {
-            announce_elsewhere(&host, source);
+            announce_to_region(&host, source);
         }
     });
 }
 
 /// Announces to the own region that this host can serve, if its snapshot came from another region:
 /// it is then among the first of its region.
-fn announce_elsewhere<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
+fn announce_to_region<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
     let region = host.settings().region.clone();
-    let is_near = host.peers.borrow().stands_in(source, &region);
-    if !is_near {
+    let is_local = host.peers.borrow().stands_in(source, &region);
+    if !is_local {
         gossip::announce_start(host);
     }
 }
@@ -141,17 +144,17 @@
 /// included.
 fn sources_of<W: WireProtocol>(
     host: &EntryHost<W>,
-    avoided: Option<net::SocketAddr>,
+    failed_source: Option<net::SocketAddr>,
 ) -> Vec<net::SocketAddr> {
     let settings = host.settings();
     let mut sources = settings.seeds.clone();
-    if avoided.is_some() {
+    if failed_source.is_some() {
         let peers = host.peers.borrow();
         let others = peers.records().map(|peer| peer.peer_address);
         let mut random = host.random.borrow_mut();
-        sources.extend(others.choose_multiple(&mut *random, OTHER_SOURCES));
+        sources.extend(others.choose_multiple(&mut *random, MAX_OTHER_SOURCES));
     }
-    sources.retain(|source| *source != settings.peer_address && Some(*source) != avoided);
+    sources.retain(|source| *source != settings.peer_address && Some(*source) != failed_source);
     sources
 }
 
@@ -172,12 +175,12 @@
     host: &EntryHost<W>,
     sources: &[net::SocketAddr],
 ) -> Option<net::SocketAddr> {
-    let (source, sender) = first_reached(sources).await?;
+    let (source, sender) = connect_first(sources).await?;
     host.join.contact.set(true);
-    let mut first = std::pin::pin!(ask_along(host, source, sender));
-    let first_end = tokio::time::timeout(SECOND_AFTER, first.as_mut()).await;
-    if let Ok(end) = first_end {
-        return end.err();
+    let mut first = std::pin::pin!(follow_redirects(host, source, sender));
+    let first_result = tokio::time::timeout(HEDGE_DELAY, first.as_mut()).await;
+    if let Ok(result) = first_result {
+        return result.err();
     }
     let second = async {
         let others: Vec<_> = sources
@@ -185,8 +188,8 @@
             .copied()
             .filter(|other| *other != source)
             .collect();
-        let (other, sender) = first_reached(&others).await.ok_or(source)?;
-        ask_along(host, other, sender).await
+        let (other, sender) = connect_first(&others).await.ok_or(source)?;
+        follow_redirects(host, other, sender).await
     };
     tokio::select! {
         Ok(()) = first => None,
@@ -196,10 +199,15 @@
 }
 
 /// Connects to all of `sources` at once and keeps the first connection that opens.
-async fn first_reached(sources: &[net::SocketAddr]) -> Option<(net::SocketAddr, ClientSender)> {
+async fn connect_first(sources: &[net::SocketAddr]) -> Option<(net::SocketAddr, ClientSender)> {
     let mut opening: FuturesUnordered<_> = sources
         .iter()
-        .map(|source| async move { (*source, http_client::connect(*source, CONNECT_LIMIT).await) })
+        .map(|source| async move {
+            (
+                *source,
+                http_client::connect(*source, CONNECT_TIMEOUT).await,
+            )
+        })
         .collect();
     while let Some((source, opened)) = opening.next().await {
         if let Ok(sender) = opened {
@@ -214,7 +222,7 @@
 ///
 /// # Errors
 /// The host that did not answer.
-async fn ask_along<W: WireProtocol>(
+async fn follow_redirects<W: WireProtocol>(
     host: &EntryHost<W>,
     first: net::SocketAddr,
     sender: ClientSender,
@@ -222,15 +230,18 @@
     let mut source = first;
     let mut sender = sender;
     for hops in 0..=MAX_HOPS {
-        match ask(host, source, sender, hops).await.ok_or(source)? {
+        match send_request(host, source, sender, hops)
+            .await
+            .ok_or(source)?
+        {
             JoinAnswer::Snapshot(packed) => {
                 let snapshot = packed.snapshot().ok_or(source)?;
-                take_over(host, &snapshot, source);
+                apply_snapshot(host, &snapshot, source);
                 return Ok(());
             }
             JoinAnswer::Ask(other) => {
                 source = other;
-                let opened = http_client::connect(other, CONNECT_LIMIT).await;
+                let opened = http_client::connect(other, CONNECT_TIMEOUT).await;
                 sender = opened.map_err(|_fault| first)?;
             }
         }
@@ -238,35 +249,35 @@
     Err(source)
 }
 
-fn take_over<W: WireProtocol>(
+fn apply_snapshot<W: WireProtocol>(
     host: &EntryHost<W>,
     snapshot: &PeerSnapshot,
     source: net::SocketAddr,
 ) {
     // Another source may have answered first.
     if !host.is_ready() {
-        catch_up::take_over(host, snapshot, source);
+        catch_up::apply_snapshot(host, snapshot, source);
     }
 }
 
-async fn ask<W: WireProtocol>(
+async fn send_request<W: WireProtocol>(
     host: &EntryHost<W>,
     source: net::SocketAddr,
     mut sender: ClientSender,
     hops: u8,
 ) -> Option<JoinAnswer> {
-    let question = JoinQuestion {
+    let join_request = JoinQuestion {
         record: host.record(),
         link_mbps: host.settings().link_mbps,
         hops,
     };
-    let bytes = peer_message::to_bytes(&question).ok()?;
+    let bytes = peer_message::to_bytes(&join_request).ok()?;
     let request = http::Request::post(join::JOIN_PATH)
         .header(http::header::HOST, "peer")
         .body(Full::new(Bytes::from(bytes)))
         .ok()?;
     let exchange = http_client::read_answer(&mut sender, request, MAX_ANSWER_BYTES);
-    let answer = tokio::time::timeout(ANSWER_LIMIT, exchange).await;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange).await;
     let Ok(Ok(answer)) = answer else {
         let fields = json!({ "peer": source.to_string(), "path": join::JOIN_PATH });
         host.note(EventCode::PeerSilent, fields);
--- a/src/entry/join_role.rs
+++ b/src/entry/join_role.rs
@@ -21,15 +21,15 @@
 /// Requesters are not redirected to hosts that were served longer ago than this, in milliseconds.
 /// By then a host that starts alone is served at once, and redirects must not lead to a host that
 /// has stopped since.
-const CARRIER_MS: u64 = 3_000;
+const SOURCE_VALID_MS: u64 = 3_000;
 /// After this many redirects a request is served regardless of the load.
 pub const MAX_HOPS: u8 = 3;
 /// The most requests held until this host is ready; each holds a connection.
-const MAX_PARKED: usize = 512;
+const MAX_PENDING: usize = 512;
 /// At least one snapshot is sent in each wave, however slow the link is.
-const LEAST_PER_WAVE: u64 = 1;
+const MIN_PER_WAVE: u64 = 1;
 /// Bytes per millisecond at 1 Mbit/s.
-const BYTES_PER_MS_OF_MBPS: u64 = 125;
+const BYTES_PER_MS_PER_MBPS: u64 = 125;
 
 /// A join request of a starting host.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -53,13 +53,13 @@
 
 /// A host that was served, and can serve others.
 #[derive(Debug)]
-struct JoinCarrier {
+struct JoinSource {
     name: String,
     address: std::net::SocketAddr,
     hall: String,
     region: String,
     link_mbps: u32,
-    served: Moment,
+    served_at: Moment,
     load: WaveLoad,
 }
 
@@ -80,8 +80,8 @@
     }
 
     /// The used part of a link's capacity in a wave; 1 when it is full.
-    fn filling(self, link_mbps: u32, bytes: usize, now: Moment) -> f64 {
-        self.count_at(now) as f64 / per_wave(link_mbps, bytes) as f64
+    fn utilization(self, link_mbps: u32, bytes: usize, now: Moment) -> f64 {
+        self.count_at(now) as f64 / snapshots_per_wave(link_mbps, bytes) as f64
     }
 
     fn add(&mut self, now: Moment) {
@@ -99,7 +99,7 @@
 #[derive(Debug, Default)]
 pub struct JoinRole {
     own: WaveLoad,
-    carriers: Vec<JoinCarrier>,
+    sources: Vec<JoinSource>,
 }
 
 impl JoinRole {
@@ -111,7 +111,7 @@
     /// # use ledgespool::entry::peers::HostRecord;
     /// # use ledgespool::timer::Moment;
     /// # let address: std::net::SocketAddr = "127.0.0.1:9".parse()?;
-    /// # let question = |name: &str| JoinQuestion {
+    /// # let request = |name: &str| JoinQuestion {
     /// #     record: HostRecord {
     /// #         name: name.to_owned(), run: 1, hall: "east".to_owned(), region: "one".to_owned(),
     /// #         caller_address: address, peer_address: address, heartbeat_address: address,
@@ -122,26 +122,26 @@
     /// # };
     /// let mut role = JoinRole::default();
     /// let (bytes, link_mbps) = (250_000, 20);
-    /// assert_eq!(role.decide(&question("a"), bytes, link_mbps, Moment(0)), JoinDecision::Serve);
+    /// assert_eq!(role.decide(&request("a"), bytes, link_mbps, Moment(0)), JoinDecision::Serve);
     /// // The link is full for now, and "a" has what "b" needs.
-    /// let next = role.decide(&question("b"), bytes, link_mbps, Moment(1));
+    /// let next = role.decide(&request("b"), bytes, link_mbps, Moment(1));
     /// assert_eq!(next, JoinDecision::Ask(address));
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn decide(
         &mut self,
-        question: &JoinQuestion,
+        request: &JoinQuestion,
         bytes: usize,
         link_mbps: u32,
         now: Moment,
     ) -> JoinDecision {
-        self.carriers
-            .retain(|carrier| now.since(carrier.served) < CARRIER_MS);
-        if let Some(address) = self.name_carrier(question, bytes, link_mbps, now) {
+        self.sources
+            .retain(|source| now.since(source.served_at) < SOURCE_VALID_MS);
+        if let Some(address) = self.select_source(request, bytes, link_mbps, now) {
             return JoinDecision::Ask(address);
         }
         self.own.add(now);
-        self.on_served(question, now);
+        self.on_served(request, now);
         JoinDecision::Serve
     }
 
@@ -149,67 +149,69 @@
     /// the requester's region whose link is used least, if it is used less than this host's.
     /// Prefers the requester's hall on a tie. Never selects a host in another region, where latency
     /// and the cost of traffic are highest.
-    fn name_carrier(
+    fn select_source(
         &mut self,
-        question: &JoinQuestion,
+        request: &JoinQuestion,
         bytes: usize,
         link_mbps: u32,
         now: Moment,
     ) -> Option<std::net::SocketAddr> {
-        let own_filling = self.own.filling(link_mbps, bytes, now);
-        if question.hops >= MAX_HOPS || own_filling < 1.0 {
+        let own_utilization = self.own.utilization(link_mbps, bytes, now);
+        if request.hops >= MAX_HOPS || own_utilization < 1.0 {
             return None;
         }
-        let asker = &question.record;
-        let fits = |carrier: &&mut JoinCarrier| {
-            carrier.region == asker.region && carrier.name != asker.name
+        let requester = &request.record;
+        let is_eligible = |source: &&mut JoinSource| {
+            source.region == requester.region && source.name != requester.name
         };
-        let order = |carrier: &JoinCarrier| {
-            let filling = carrier.load.filling(carrier.link_mbps, bytes, now);
-            (filling, carrier.hall != asker.hall)
+        let rank = |source: &JoinSource| {
+            let utilization = source.load.utilization(source.link_mbps, bytes, now);
+            (utilization, source.hall != requester.hall)
         };
-        let carriers = self.carriers.iter_mut().filter(fits);
-        let best = carriers.min_by(|a, b| {
-            let (a, b) = (order(a), order(b));
+        let sources = self.sources.iter_mut().filter(is_eligible);
+        let best = sources.min_by(|a, b| {
+            let (a, b) = (rank(a), rank(b));
             a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
         })?;
-        if order(best).0 >= own_filling {
+        if rank(best).0 >= own_utilization {
             return None;
         }
         best.load.add(now);
         Some(best.address)
     }
 
-    fn on_served(&mut self, question: &JoinQuestion, now: Moment) {
-        let record = &question.record;
-        self.carriers.retain(|carrier| carrier.name != record.name);
-        self.carriers.push(JoinCarrier {
+    fn on_served(&mut self, request: &JoinQuestion, now: Moment) {
+        let record = &request.record;
+        self.sources.retain(|source| source.name != record.name);
+        self.sources.push(JoinSource {
             name: record.name.clone(),
             address: record.peer_address,
             hall: record.hall.clone(),
             region: record.region.clone(),
-            link_mbps: question.link_mbps,
-            served: now,
+            link_mbps: request.link_mbps,
+            served_at: now,
             load: WaveLoad::default(),
         });
     }
 }
 
 /// How many times `bytes` fit through a link in a wave.
-fn per_wave(link_mbps: u32, bytes: usize) -> u64 {
-    let carried = u64::from(link_mbps) * BYTES_PER_MS_OF_MBPS * WAVE_MS;
-    (carried / bytes.max(1) as u64).max(LEAST_PER_WAVE)
+fn snapshots_per_wave(link_mbps: u32, bytes: usize) -> u64 {
+    let carried = u64::from(link_mbps) * BYTES_PER_MS_PER_MBPS * WAVE_MS;
+    (carried / bytes.max(1) as u64).max(MIN_PER_WAVE)
 }
 
 /// Join requests that arrived before this host was ready.
 #[derive(Debug)]
 pub struct ParkedQuestions<T> {
-    parked: Vec<(JoinQuestion, T)>,
+    pending: Vec<(JoinQuestion, T)>,
 }
 
 impl<T> Default for ParkedQuestions<T> {
     fn default() -> Self {
-        Self { parked: Vec::new() }
+        Self {
+            pending: Vec::new(),
+        }
     }
 }
 
@@ -218,18 +220,18 @@
     ///
     /// # Errors
     /// Returns the requester when too many requests are held; it must be answered at once.
-    pub fn park(&mut self, question: JoinQuestion, asker: T) -> Result<(), T> {
-        if self.parked.len() >= MAX_PARKED {
-            return Err(asker);
+    pub fn park(&mut self, request: JoinQuestion, requester: T) -> Result<(), T> {
+        if self.pending.len() >= MAX_PENDING {
+            return Err(requester);
         }
-        self.parked.push((question, asker));
+        self.pending.push((request, requester));
         Ok(())
     }
 
     /// Takes all held requests, those with the fastest links first.
     pub fn take(&mut self) -> Vec<(JoinQuestion, T)> {
-        let mut parked = std::mem::take(&mut self.parked);
-        parked.sort_by_key(|(question, _)| std::cmp::Reverse(question.link_mbps));
-        parked
+        let mut pending = std::mem::take(&mut self.pending);
+        pending.sort_by_key(|(request, _)| std::cmp::Reverse(request.link_mbps));
+        pending
     }
 }
--- a/src/entry/packed_servers.rs
+++ b/src/entry/packed_servers.rs
@@ -39,8 +39,8 @@
         for object in objects {
             let record = object.record;
             let server = PackedServer {
-                service: packed.place_of(&record.service),
-                hall: packed.place_of(&record.hall),
+                service: packed.index_of(&record.service),
+                hall: packed.index_of(&record.hall),
                 id: record.id,
                 born: record.born,
                 address: record.address,
@@ -78,16 +78,16 @@
     }
 
     /// There are only a few services and halls, so a linear search is fastest.
-    fn place_of(&mut self, name: &str) -> u32 {
+    fn index_of(&mut self, name: &str) -> u32 {
         let known = self.names.iter().position(|known| known == name);
-        let place = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             self.names.push(name.to_owned());
             self.names.len() - 1
         });
-        u32::try_from(place).unwrap_or(u32::MAX)
+        u32::try_from(index).unwrap_or(u32::MAX)
     }
 
-    fn name_at(&self, place: u32) -> Option<String> {
-        self.names.get(place as usize).cloned()
+    fn name_at(&self, index: u32) -> Option<String> {
+        self.names.get(index as usize).cloned()
     }
 }
