--- a/src/entry/fleet_told.rs
+++ b/src/entry/fleet_told.rs
@@ -18,11 +18,11 @@
     /// Every server with an entry in the store. A server whose entry may only have expired is
     /// reported by [`Self::kept`] instead.
     pub fn objects(&self) -> impl Iterator<Item = ServerObject> {
-        self.objects_past(None)
+        self.objects_after(None)
     }
 
     /// Servers that have changed after the store revision `since`, or all.
-    fn objects_past(&self, since: Option<u64>) -> impl Iterator<Item = ServerObject> {
+    fn objects_after(&self, since: Option<u64>) -> impl Iterator<Item = ServerObject> {
         // Most servers are filtered out, so objects are copied only after that.
         let entries = self.entries.values().filter(move |entry| {
             since.is_none_or(|since| entry.revision > since)
@@ -46,7 +46,7 @@
         // A retained server is removed at the end of its retention without a change in the store.
         let gone = ended.chain(self.kept(now));
         Some(FleetDifference {
-            changed: self.objects_past(Some(since)).collect(),
+            changed: self.objects_after(Some(since)).collect(),
             gone: gone.collect(),
         })
     }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -28,7 +28,7 @@
 const WATCH_WAIT_MS: u64 = 5_000;
 /// How long a watch of the hosts waits, in milliseconds. Hosts also learn of each other by
 /// heartbeats, so fewer calls suffice.
-const HOSTS_WAIT_MS: u64 = 25_000;
+const HOSTS_WATCH_WAIT_MS: u64 = 25_000;
 /// The wait of a watch after a failed call, in milliseconds. It asks for an immediate answer, so
 /// that the store's return is noticed with the first answered call rather than with the next
 /// change. When the return was noticed with the next change, the retention of expired entries began
@@ -38,7 +38,7 @@
 /// milliseconds: a call that does not wait is given up after 1 s, a pause of 0.8 s follows, and the
 /// next answer may be slow. A watch that hangs is given up after 3 s by probes, or after 6 s;
 /// servers missing after that may have left since the store returned.
-const RETURN_SEEN_MS: u64 = 2_500;
+const RETURN_OBSERVED_MS: u64 = 2_500;
 /// How much later than its wait a watch may be answered.
 const WATCH_MARGIN: time::Duration = time::Duration::from_secs(1);
 /// The pause after the first failure, in milliseconds; each further failure doubles it.
@@ -47,12 +47,12 @@
 pub(super) const MAX_PAUSE_MS: u64 = 800;
 /// Delay of the next watch after a change, in which further changes accumulate: servers and hosts
 /// that start together change one after the other.
-const GROUP_PAUSE: time::Duration = time::Duration::from_millis(250);
+const BATCH_PAUSE: time::Duration = time::Duration::from_millis(250);
 
 /// Starts the tasks that follow the store.
 pub fn spawn<W: WireProtocol, S: ObjectStore>(host: &rc::Rc<EntryHost<W>>, store: &rc::Rc<S>) {
-    let may_order = host.settings().bounds.canary_share.is_some();
-    let is_followed = |kind: &ObjectKind| may_order || *kind != ObjectKind::Rollouts;
+    let has_rollouts = host.settings().bounds.canary_share.is_some();
+    let is_followed = |kind: &ObjectKind| has_rollouts || *kind != ObjectKind::Rollouts;
     for kind in ObjectKind::WATCHED.into_iter().filter(is_followed) {
         let follower = KindFollower {
             host: rc::Rc::clone(host),
@@ -97,7 +97,7 @@
                 }
                 // The state from before is out of date as well.
                 Err(StoreFault::HistoryGone | StoreFault::FormerEra) => must_list = true,
-                Err(_) => self.pause().await,
+                Err(_) => self.back_off().await,
             }
         }
     }
@@ -121,7 +121,7 @@
             let page = tokio::time::timeout(CALL_LIMIT, call)
                 .await
                 .unwrap_or(Err(StoreFault::Unreachable));
-            self.note("list", began, page.as_ref().map(|page| page.revision));
+            self.record_call("list", began, page.as_ref().map(|page| page.revision));
             let page = page?;
             // The first page's revision: changes made while the other pages are read are watched
             // from there.
@@ -136,7 +136,9 @@
             }
             // Without this check a page that does not advance would be read forever.
             if last <= after {
-                return Err(StoreFault::Malformed("the list does not advance".to_owned()));
+                return Err(StoreFault::Malformed(
+                    "the list does not advance".to_owned(),
+                ));
             }
             after = last;
         }
@@ -147,18 +149,18 @@
 
     async fn watch(&mut self, revision: u64) -> StoreResult<u64> {
         let wait_ms = self.wait_ms();
-        let limit = time::Duration::from_millis(wait_ms) + WATCH_MARGIN;
+        let call_timeout = time::Duration::from_millis(wait_ms) + WATCH_MARGIN;
         let began = self.host.now();
         let call = self.store.watch(self.kind, revision, wait_ms);
-        let batch = tokio::time::timeout(limit, call)
+        let batch = tokio::time::timeout(call_timeout, call)
             .await
             .unwrap_or(Err(StoreFault::Unreachable));
-        self.note("watch", began, batch.as_ref().map(|batch| batch.revision));
+        self.record_call("watch", began, batch.as_ref().map(|batch| batch.revision));
         let batch = batch?;
         if !batch.changes.is_empty() {
             store_news::on_changes(&self.host, self.kind, &batch);
             // Changes come in groups; receiving a group at once saves calls.
-            tokio::time::sleep(GROUP_PAUSE).await;
+            tokio::time::sleep(BATCH_PAUSE).await;
         } else if self.kind == ObjectKind::Servers {
             self.host.fleet.borrow_mut().on_quiet(batch.revision);
         }
@@ -169,15 +171,15 @@
     fn wait_ms(&self) -> u64 {
         match self.kind {
             _ if self.host.watch.is_lost(self.kind) => RETURN_WAIT_MS,
-            ObjectKind::Hosts => HOSTS_WAIT_MS,
+            ObjectKind::Hosts => HOSTS_WATCH_WAIT_MS,
             _ => WATCH_WAIT_MS,
         }
     }
 
     /// Counts a call that began at `began`, and logs when the store is lost or found again.
     /// `result` is the store revision in the answer.
-    fn note(&mut self, call: &'static str, began: Moment, result: Result<u64, &StoreFault>) {
-        let word = word_of(result);
+    fn record_call(&mut self, call: &'static str, began: Moment, result: Result<u64, &StoreFault>) {
+        let label = result_label(result);
         if let Some(text) = self.store.take_odd_era() {
             self.host
                 .note(EventCode::StoreEraUnreadable, json!({ "era": text }));
@@ -185,7 +187,7 @@
         self.host
             .metrics
             .borrow_mut()
-            .on_store_call(self.kind, call, word);
+            .on_store_call(self.kind, call, label);
         match result {
             Ok(revision) => {
                 self.on_answered(call, began, Some(revision));
@@ -196,15 +198,15 @@
             Err(StoreFault::HistoryGone | StoreFault::FormerEra) => {}
             Err(StoreFault::Unreachable | StoreFault::Refused(_) | StoreFault::Malformed(_)) => {
                 if self.host.watch.on_call(self.kind, true) {
-                    self.on_lost(call, word);
+                    self.on_lost(call, label);
                 }
                 self.last_failed = Some(began);
             }
         }
     }
 
-    fn on_lost(&self, call: &'static str, word: &'static str) {
-        let fields = json!({ "kind": self.kind.as_str(), "call": call, "result": word });
+    fn on_lost(&self, call: &'static str, label: &'static str) {
+        let fields = json!({ "kind": self.kind.as_str(), "call": call, "result": label });
         self.host.note(EventCode::PlatformLost, fields);
     }
 
@@ -229,20 +231,20 @@
         self.host.note(EventCode::PlatformFound, fields);
         if let (ObjectKind::Servers, Some(revision)) = (self.kind, revision) {
             let now = self.host.now();
-            let sight = self.return_sight(now);
+            let observation = self.return_observation(now);
             let mut fleet = self.host.fleet.borrow_mut();
-            fleet.on_store_return(sight, revision, now);
+            fleet.on_store_return(observation, revision, now);
         }
     }
 
-    fn return_sight(&self, now: Moment) -> ReturnSight {
+    fn return_observation(&self, now: Moment) -> ReturnSight {
         match self.last_failed {
-            Some(failed) if now.since(failed) <= RETURN_SEEN_MS => ReturnSight::InTime,
+            Some(failed) if now.since(failed) <= RETURN_OBSERVED_MS => ReturnSight::InTime,
             _ => ReturnSight::Late,
         }
     }
 
-    async fn pause(&mut self) {
+    async fn back_off(&mut self) {
         let doubled = FIRST_PAUSE_MS << self.failures.min(8);
         self.failures += 1;
         let longest = doubled.min(MAX_PAUSE_MS);
@@ -251,7 +253,7 @@
 }
 
 /// The label of a call's result in logs and metrics.
-const fn word_of(result: Result<u64, &StoreFault>) -> &'static str {
+const fn result_label(result: Result<u64, &StoreFault>) -> &'static str {
     match result {
         Ok(_) => "ok",
         Err(StoreFault::Unreachable) => "unreachable",
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -18,21 +18,21 @@
 use crate::timer::Moment;
 
 /// How often silent hosts are looked for.
-const SWEEP: time::Duration = time::Duration::from_secs(5);
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(5);
 /// How often a host checks whether its own entry must be written again: well within the time for
 /// which it can be silent before the others remove the entry.
-const OWN_ENTRY_CHECK: time::Duration = time::Duration::from_secs(1);
+const ENTRY_CHECK_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// By then a started host has discovered the others of its region, in milliseconds, so that only
 /// the selected hosts write an entry. Old entries can be used until then, as hosts return to their
 /// addresses.
-const SETTLE_MS: u64 = 3_000;
+const REGION_DISCOVERY_MS: u64 = 3_000;
 /// By then a started host has learned of all others, in milliseconds: hosts that start with it are
 /// announced within a second, and each heartbeat is sent to eight others twice a second.
-const ALL_MET_MS: u64 = 5_000;
+const DISCOVERY_MS: u64 = 5_000;
 /// The same limit if no host of some hall was discovered, in milliseconds: the hall has no host, or
 /// none that is alive.
-const ALL_MET_AT_LAST_MS: u64 = 30_000;
+const MAX_DISCOVERY_MS: u64 = 30_000;
 
 /// Starts the tasks that write and remove entries.
 pub(super) fn spawn<W: WireProtocol, S: ObjectStore>(
@@ -46,13 +46,13 @@
 /// Writes this host's own entry when it is selected to register one, and again whenever the entry
 /// is missing.
 async fn register<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
-    let mut was_keeper = false;
+    let mut was_selected = false;
     while !host.is_leaving() {
-        tokio::time::sleep(OWN_ENTRY_CHECK).await;
-        let keeps = host.keeps_entry();
+        tokio::time::sleep(ENTRY_CHECK_INTERVAL).await;
+        let is_selected = host.keeps_entry();
         // Two checks in a row must agree: another host may only have missed a heartbeat.
-        let is_due = keeps && was_keeper && host.own_entry.get().is_none();
-        was_keeper = keeps;
+        let is_due = is_selected && was_selected && host.own_entry.get().is_none();
+        was_selected = is_selected;
         if is_due && write_until_done(&host, &*store).await.is_none() {
             return;
         }
@@ -87,25 +87,25 @@
 impl<W: WireProtocol> EntryHost<W> {
     fn keeps_entry(&self) -> bool {
         let now = self.now();
-        now.0 >= SETTLE_MS && self.peers.borrow().keeps_entry(&self.record(), now)
+        now.0 >= REGION_DISCOVERY_MS && self.peers.borrow().keeps_entry(&self.record(), now)
     }
 
     /// Whether this host has probably discovered all others of its region: its membership is
     /// complete, or it has run for long enough.
     pub(super) fn has_met_region(&self) -> bool {
-        self.now().0 >= SETTLE_MS || self.peers.borrow().is_listed()
+        self.now().0 >= REGION_DISCOVERY_MS || self.peers.borrow().is_listed()
     }
 
     /// Marks the membership as complete once there was time to learn of all hosts and a host of
     /// each hall is known.
     pub(super) fn look_for_all_hosts(&self, now: Moment) {
-        if now.0 < ALL_MET_MS || self.peers.borrow().is_listed() {
+        if now.0 < DISCOVERY_MS || self.peers.borrow().is_listed() {
             return;
         }
         let settings = self.settings();
         let halls = settings.halls.names().filter(|hall| *hall != settings.hall);
         let mut peers = self.peers.borrow_mut();
-        if peers.knows_halls(halls) || now.0 >= ALL_MET_AT_LAST_MS {
+        if peers.knows_halls(halls) || now.0 >= MAX_DISCOVERY_MS {
             peers.on_listed();
         }
     }
@@ -167,7 +167,7 @@
 /// also reports them to the other regions, and removes their entries from the store.
 async fn sweep<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         if host.is_leaving() {
             continue;
         }
--- a/src/entry/lapse_hold.rs
+++ b/src/entry/lapse_hold.rs
@@ -26,7 +26,7 @@
 /// is noticed (100) and the latency of a request. Without this margin, a group that leaves at once
 /// without announcing it, or a server that leaves before the store's return is noticed late, is
 /// retained for 2,200 ms, while servers leave within 2,000 ms.
-const WORD_MS: u64 = 600;
+const UPDATE_MARGIN_MS: u64 = 600;
 
 /// Why servers whose entries went missing are retained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -77,9 +77,9 @@
     leave_ms: u64,
     until: Moment,
     /// Entries that went missing up to this store revision did so while the store was away.
-    lapsed_by: u64,
+    expired_by: u64,
     /// Entries that went missing up to this store revision may have done so long ago.
-    unsure_by: u64,
+    uncertain_by: u64,
     reason: HoldReason,
 }
 
@@ -88,8 +88,8 @@
         Self {
             leave_ms: DEFAULT_LEAVE_MS,
             until: Moment(0),
-            lapsed_by: 0,
-            unsure_by: 0,
+            expired_by: 0,
+            uncertain_by: 0,
             reason: HoldReason::default(),
         }
     }
@@ -105,8 +105,8 @@
     pub fn on_store_return(&mut self, sight: ReturnSight, revision: u64, now: Moment) {
         self.open(now.plus(LAPSE_GRACE_MS), HoldReason::StoreReturned);
         match sight {
-            ReturnSight::InTime => self.lapsed_by = revision,
-            ReturnSight::Late => self.unsure_by = revision,
+            ReturnSight::InTime => self.expired_by = revision,
+            ReturnSight::Late => self.uncertain_by = revision,
         }
     }
 
@@ -115,7 +115,7 @@
     /// either.
     pub fn on_many_vanished(&mut self, now: Moment) {
         self.open(now.plus(LAPSE_GRACE_MS), HoldReason::ManyVanished);
-        self.unsure_by = 0;
+        self.uncertain_by = 0;
     }
 
     /// Another host retains a server until `until`.
@@ -146,10 +146,10 @@
     /// ```
     #[must_use]
     pub fn server_hold(&self, by: u64, now: Moment) -> Option<ServerHold> {
-        let leaving_until = now.plus(self.leave_ms.saturating_sub(WORD_MS));
-        let until = if by <= self.lapsed_by {
+        let leaving_until = now.plus(self.leave_ms.saturating_sub(UPDATE_MARGIN_MS));
+        let until = if by <= self.expired_by {
             self.until
-        } else if by <= self.unsure_by {
+        } else if by <= self.uncertain_by {
             return None;
         } else {
             self.until.min(leaving_until)
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -17,9 +17,9 @@
 use crate::event::EventCode;
 
 /// Interval of the periodic work: idle connections, expired entries, the log.
-const TICK: time::Duration = time::Duration::from_millis(100);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// How often the settings file is checked, in ticks; it may change without a signal.
-const SETTINGS_TICKS: u64 = 20;
+const SETTINGS_CHECK_TICKS: u64 = 20;
 
 /// Runs a host until the process is told to stop and its requests have completed.
 ///
@@ -53,7 +53,7 @@
     host_entries::spawn(&host, &store);
     quarantine_role::spawn(&host, &store);
     rollout_role::spawn(&host, &store);
-    look_after(&host, &store, file, signals).await;
+    run_event_loop(&host, &store, file, signals).await;
     host.note(
         EventCode::ProcessStopped,
         json!({ "open_requests": host.open_requests() }),
@@ -83,21 +83,21 @@
     }
 }
 
-async fn look_after<W: WireProtocol, S: ObjectStore>(
+async fn run_event_loop<W: WireProtocol, S: ObjectStore>(
     host: &rc::Rc<EntryHost<W>>,
     store: &rc::Rc<S>,
     file: &path::Path,
     mut signals: StopSignals,
 ) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut count = 0_u64;
+    let mut tick_count = 0_u64;
     loop {
         tokio::select! {
             _tick = ticks.tick() => {
                 host.on_tick();
-                count += 1;
-                if count.is_multiple_of(SETTINGS_TICKS) {
+                tick_count += 1;
+                if tick_count.is_multiple_of(SETTINGS_CHECK_TICKS) {
                     reload_settings(host, file);
                 }
                 if host.may_stop() {
--- a/src/entry/metrics_page.rs
+++ b/src/entry/metrics_page.rs
@@ -13,7 +13,7 @@
 
 /// The number of customers whose refusals are counted by name. All others share one counter, which
 /// limits the size of the page.
-const NAMED_CUSTOMERS: usize = 100;
+const MAX_NAMED_CUSTOMERS: usize = 100;
 /// The label of the counter that all other customers share.
 const OTHER_CUSTOMERS: &str = "(others)";
 
@@ -174,7 +174,7 @@
     /// Counts a request of `customer` that was refused because of its limit.
     pub fn on_over_limit(&mut self, customer: &str) {
         let is_named = self.over_limit.contains_key(customer);
-        let name = if is_named || self.over_limit.len() < NAMED_CUSTOMERS {
+        let name = if is_named || self.over_limit.len() < MAX_NAMED_CUSTOMERS {
             customer
         } else {
             OTHER_CUSTOMERS
@@ -244,13 +244,13 @@
                 age_ms,
             );
         }
-        for (name, value) in self.plain(current) {
+        for (name, value) in self.unlabelled(current) {
             line(&mut page, name, value);
         }
         page
     }
 
-    fn plain(&self, current: &CurrentFigures) -> [(&'static str, u64); 31] {
+    fn unlabelled(&self, current: &CurrentFigures) -> [(&'static str, u64); 31] {
         [
             ("ledgespool_within_limit_total", self.within_limit),
             ("ledgespool_limit_hosts", u64::from(current.limit_hosts)),
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -14,7 +14,7 @@
 const STOP_MARGIN: time::Duration = time::Duration::from_millis(250);
 /// The grace period divided by this is its first part, in which a stopping host accepts any
 /// request. Later it accepts only requests that are certain to complete before it stops.
-const OPEN_SHARE_OF_GRACE: u32 = 2;
+const OPEN_GRACE_DIVISOR: u32 = 2;
 /// A host that was told to stop exits early after this time without requests, in milliseconds. It
 /// is longer than callers cache a lookup answer.
 const QUIET_BEFORE_STOP_MS: u64 = 2_500;
@@ -67,9 +67,9 @@
         let Some(since) = self.stop.leaving_since.get() else {
             return false;
         };
-        let open_ms = self.settings().bounds.stop_grace / OPEN_SHARE_OF_GRACE;
+        let open_ms = self.settings().bounds.stop_grace / OPEN_GRACE_DIVISOR;
         let open_until = since.plus(open_ms.as_millis() as u64);
-        self.now() >= open_until && deadline >= self.stop_limit(since)
+        self.now() >= open_until && deadline >= self.exit_deadline(since)
     }
 
     /// Whether the process may exit now.
@@ -81,10 +81,10 @@
         let now = self.now();
         let last_request = self.stop.last_request.get().max(since);
         let quiet = now.since(last_request) > QUIET_BEFORE_STOP_MS;
-        now >= self.stop_limit(since) || (quiet && self.open_requests() == 0)
+        now >= self.exit_deadline(since) || (quiet && self.open_requests() == 0)
     }
 
-    fn stop_limit(&self, leaving_since: Moment) -> Moment {
+    fn exit_deadline(&self, leaving_since: Moment) -> Moment {
         let grace = self.settings().bounds.stop_grace;
         leaving_since.plus(grace.saturating_sub(STOP_MARGIN).as_millis() as u64)
     }
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -23,17 +23,17 @@
     /// entries that go missing from now on may have been lost, and this host writes its blocked
     /// requests again.
     pub(super) fn on_store_position(&self, position: u64, source: &str) {
-        let era = store_position::era_of(position);
+        let epoch = store_position::era_of(position);
         let before = self.store_era.get();
-        if era <= before {
+        if epoch <= before {
             return;
         }
-        self.store_era.set(era);
+        self.store_era.set(epoch);
         // A host that has just started, or that has not seen an epoch before, has lost nothing.
         if before == 0 {
             return;
         }
-        let fields = json!({ "era": era, "before": before, "source": source });
+        let fields = json!({ "era": epoch, "before": before, "source": source });
         self.note(EventCode::StoreEraBegan, fields);
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -41,7 +41,7 @@
             let records: Vec<_> = records.collect();
             host_gossip::learn_hosts(host, &records);
             host.peers.borrow_mut().on_entries(&records);
-            look_for_own_entry(host, objects);
+            check_own_entry(host, objects);
         }
         // Not followed: `quarantine_role` reads it once.
         ObjectKind::Quarantine => {}
@@ -51,7 +51,7 @@
 
 /// Checks the own entry: a store that returned from an older backup may have lost it, or may hold
 /// it at another revision.
-fn look_for_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
+fn check_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
     if host.own_entry.get().is_none() {
         return;
     }
@@ -101,26 +101,26 @@
 }
 
 fn on_hosts<W: WireProtocol>(host: &EntryHost<W>, batch: &ChangeBatch) {
-    let mut news = HostNews::default();
+    let mut update = HostNews::default();
     for change in &batch.changes {
         if change.deleted {
-            let gone = gone_host(host, &change.object);
+            let removed = removed_host(host, &change.object);
             let mut peers = host.peers.borrow_mut();
-            peers.on_entry_gone(&gone.name, gone.run);
+            peers.on_entry_gone(&removed.name, removed.run);
             drop(peers);
-            host_gossip::on_host_gone(host, &gone);
-            news.gone.push(gone);
+            host_gossip::on_host_gone(host, &removed);
+            update.gone.push(removed);
         } else if let ObjectContent::Host(record) = &change.object.content {
             host.peers.borrow_mut().on_entry(record);
-            news.joined.push(record.clone());
+            update.joined.push(record.clone());
         }
     }
-    host_gossip::learn_hosts(host, &news.joined);
-    host_gossip::pass_on_hosts(host, news);
+    host_gossip::learn_hosts(host, &update.joined);
+    host_gossip::pass_on_hosts(host, update);
 }
 
 /// The run whose entry was deleted: the one that the store reports, or else the one that is known.
-fn gone_host<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject) -> GoneHost {
+fn removed_host<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject) -> GoneHost {
     let run = match &object.content {
         ObjectContent::Host(record) => record.run,
         // The table of peers does not contain the host itself.
--- a/src/entry/store_position.rs
+++ b/src/entry/store_position.rs
@@ -7,10 +7,10 @@
 //! host ran.
 
 /// Bits of the revision: enough for a thousand changes per second over more than a thousand days.
-const COUNT_BITS: u32 = 40;
-const COUNT_MASK: u64 = (1 << COUNT_BITS) - 1;
+const REVISION_BITS: u32 = 40;
+const REVISION_MASK: u64 = (1 << REVISION_BITS) - 1;
 /// The highest epoch that a position can hold.
-pub const MAX_ERA: u64 = (1 << (63 - COUNT_BITS)) - 1;
+pub const MAX_ERA: u64 = (1 << (63 - REVISION_BITS)) - 1;
 
 /// The position of a revision within an epoch.
 ///
@@ -23,18 +23,18 @@
 /// assert_eq!(store_position::count_of(after), 7);
 /// ```
 #[must_use]
-pub const fn from_parts(era: u64, count: u64) -> u64 {
-    (era << COUNT_BITS) | (count & COUNT_MASK)
+pub const fn from_parts(epoch: u64, revision: u64) -> u64 {
+    (epoch << REVISION_BITS) | (revision & REVISION_MASK)
 }
 
 /// The epoch of a position; 0 if the store reports none.
 #[must_use]
 pub const fn era_of(position: u64) -> u64 {
-    position >> COUNT_BITS
+    position >> REVISION_BITS
 }
 
 /// The store revision of a position.
 #[must_use]
 pub const fn count_of(position: u64) -> u64 {
-    position & COUNT_MASK
+    position & REVISION_MASK
 }
--- a/src/entry/watch_role.rs
+++ b/src/entry/watch_role.rs
@@ -15,44 +15,44 @@
 /// On the first start of the whole system, hosts that are not seeds leave the store to the seeds
 /// for this long and ask them, in milliseconds. There are no callers yet, but many hosts start at
 /// once.
-const FIRST_MEETING_MS: u64 = 1_500;
+const FIRST_START_DELAY_MS: u64 = 1_500;
 /// On any other start callers are waiting, so hosts that have no list of servers begin to list the
 /// store one after the other. Each waits this time divided by its share of a core, in milliseconds.
 /// A host with half a core reads 1,566 servers in 90 to 140 ms and one with a tenth of a core in
 /// 270 ms, so the larger hosts begin first.
-const LIST_LEAST_MS: f64 = 30.0;
+const MIN_LIST_DELAY_MS: f64 = 30.0;
 /// The range of the random delay that is added, in milliseconds, also divided by the share of a
 /// core. Of 27 hosts with half a core, about ten have begun when the first one can serve the
 /// others.
-const LIST_SPREAD_MS: f64 = 100.0;
+const LIST_JITTER_MS: f64 = 100.0;
 /// The upper bound of the whole delay, in milliseconds: a host without any others should not wait
 /// longer.
-const LONGEST_WAIT_MS: f64 = 2_000.0;
+const MAX_LIST_DELAY_MS: f64 = 2_000.0;
 /// How long after its start a host that is not a seed leaves the store to the seeds if it has
 /// reached another host, in milliseconds. It is longer than a join request is held, and long enough
 /// to learn which hosts watch. Without it, each of hundreds of hosts that start together lists
 /// everything itself.
-const CONTACT_MS: u64 = 1_500;
+const SEEDS_ONLY_MS: u64 = 1_500;
 
 /// Whether a host watches the store, and the kinds that it cannot read now.
 #[derive(Debug, Default)]
 pub struct WatchRole {
-    watches: cell::Cell<bool>,
+    is_watching: cell::Cell<bool>,
     /// Wakes the tasks that follow a kind; they wait while this host leaves the store to others.
     began: Notify,
     lost: cell::RefCell<collections::HashSet<ObjectKind>>,
     /// The position of this host in the random order in which hosts list the store, from 0 to 1.
-    spread: cell::OnceCell<f64>,
+    jitter: cell::OnceCell<f64>,
 }
 
 impl WatchRole {
     /// Starts or stops watching; returns whether that is a change.
-    pub fn set_watching(&self, watches: bool) -> bool {
-        if !watches {
+    pub fn set_watching(&self, is_watching: bool) -> bool {
+        if !is_watching {
             self.lost.borrow_mut().clear();
         }
-        let is_change = self.watches.replace(watches) != watches;
-        if is_change && watches {
+        let is_change = self.is_watching.replace(is_watching) != is_watching;
+        if is_change && is_watching {
             self.began.notify_waiters();
         }
         is_change
@@ -65,12 +65,12 @@
 
     /// Whether this host watches the store.
     pub(super) const fn is_watching(&self) -> bool {
-        self.watches.get()
+        self.is_watching.get()
     }
 
     /// A number from 0 to 1 that is sampled once.
-    fn spread(&self, draw: impl FnOnce() -> f64) -> f64 {
-        *self.spread.get_or_init(draw)
+    fn jitter(&self, sample: impl FnOnce() -> f64) -> f64 {
+        *self.jitter.get_or_init(sample)
     }
 
     /// Records whether a call about a kind was lost; returns whether that is a change.
@@ -103,7 +103,7 @@
     /// The state that is sent to other hosts.
     #[must_use]
     pub fn state(&self) -> WatchState {
-        match (self.watches.get(), self.lost.borrow().is_empty()) {
+        match (self.is_watching.get(), self.lost.borrow().is_empty()) {
             (false, _) => WatchState::Idle,
             (true, true) => WatchState::Watching,
             (true, false) => WatchState::Blind,
@@ -122,9 +122,9 @@
         if !self.fleet.borrow().is_listed() {
             // A host that has begun to list continues: hosts that join meanwhile may wait for its
             // list.
-            return is_seed || self.watch.is_watching() || self.now().0 >= self.list_after_ms();
+            return is_seed || self.watch.is_watching() || self.now().0 >= self.list_delay_ms();
         }
-        if self.join.has_contact() && self.now().0 < CONTACT_MS {
+        if self.join.has_contact() && self.now().0 < SEEDS_ONLY_MS {
             return is_seed;
         }
         let peers = self.peers.borrow();
@@ -142,14 +142,14 @@
 
     /// How long after its start a host without a list of servers lists them itself, in
     /// milliseconds.
-    fn list_after_ms(&self) -> u64 {
+    fn list_delay_ms(&self) -> u64 {
         let settings = self.settings();
         if settings.first_start {
-            return FIRST_MEETING_MS;
+            return FIRST_START_DELAY_MS;
         }
-        let spread = self.watch.spread(|| self.random.borrow_mut().random());
-        let wait_ms = (LIST_LEAST_MS + LIST_SPREAD_MS * spread) / settings.processor_share;
+        let jitter = self.watch.jitter(|| self.random.borrow_mut().random());
+        let delay_ms = (MIN_LIST_DELAY_MS + LIST_JITTER_MS * jitter) / settings.processor_share;
         // The value is positive and bounded.
-        wait_ms.min(LONGEST_WAIT_MS) as u64
+        delay_ms.min(MAX_LIST_DELAY_MS) as u64
     }
 }
