--- a/benches/choice.rs
+++ b/benches/choice.rs
@@ -8,9 +8,9 @@
 
 use ledgespool::entry::budget::ColdShare;
 use ledgespool::entry::choice::{self, ChoiceQuery};
+use ledgespool::entry::expiry_retention::MissingSource;
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
-use ledgespool::entry::lapse_hold::MissingSource;
 use ledgespool::entry::region_distance::RegionDistances;
 use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
 use ledgespool::entry::server::{ServerRecord, ServerState};
--- a/benches/fleet_size.rs
+++ b/benches/fleet_size.rs
@@ -8,9 +8,9 @@
 
 use ledgespool::entry::budget::ColdShare;
 use ledgespool::entry::choice::{self, ChoiceQuery};
+use ledgespool::entry::expiry_retention::MissingSource;
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_change::ChangeSpan;
-use ledgespool::entry::lapse_hold::MissingSource;
 use ledgespool::entry::packed_servers::PackedServers;
 use ledgespool::entry::peer_message::{PackedSnapshot, PeerSnapshot, WatchState};
 use ledgespool::entry::peers::PeerTable;
--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -8,10 +8,10 @@
 use serde_json::json;
 
 use super::configuration::ServiceConfiguration;
+use super::expiry_retention::{MissingSource, ReportedRetentions};
 use super::gossip;
 use super::host::EntryHost;
 use super::host_gossip;
-use super::lapse_hold::{MissingSource, ToldHolds};
 use super::peer_message::{self, FleetNews, JoinAnswer, PeerHeartbeat, PeerSnapshot};
 use super::quarantine::message::SuspectRecord;
 use super::store::StoredObject;
@@ -301,7 +301,7 @@
     }
     if snapshot.fleet_revision > host.fleet.borrow().revision() {
         let objects: Vec<_> = snapshot.servers.objects().map(StoredObject::from).collect();
-        let reported = ToldHolds::from_gone(&snapshot.kept, host.now());
+        let reported = ReportedRetentions::from_gone(&snapshot.kept, host.now());
         let missing = MissingSource::Peer(&reported);
         host.on_server_list(&objects, snapshot.fleet_revision, missing, &source);
     }
--- a/src/entry/lapse_hold.rs
+++ b/src/entry/expiry_retention.rs
@@ -14,11 +14,11 @@
 /// How long expired entries are waited for after the store's return, in milliseconds. Servers whose
 /// entries expired while the store was away write them again within about two seconds; the rest is
 /// network latency. A server still missing then is removed.
-pub const LAPSE_GRACE_MS: u64 = 2_200;
+pub const EXPIRY_GRACE_MS: u64 = 2_200;
 
 /// How long a leaving server serves if the settings do not say, in milliseconds. It is short, since
 /// a server that is retained for too long gets work that it can no longer do.
-pub const DEFAULT_LEAVE_MS: u64 = 1_000;
+pub const DEFAULT_LEAVE_TIME_MS: u64 = 1_000;
 
 /// The end of a leaving server's time that is reserved for updates and requests in flight, in
 /// milliseconds: the pause after a change (250), the latency from the store to a watcher and on to
@@ -30,40 +30,40 @@
 
 /// Why servers whose entries went missing are retained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum HoldReason {
+pub enum RetentionReason {
     /// The store was away, and answers again.
     #[default]
     StoreReturned,
     /// Many servers vanished at the same time.
     ManyVanished,
     /// Another host retains them.
-    Told,
+    Reported,
 }
 
-impl HoldReason {
+impl RetentionReason {
     /// The label in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::StoreReturned => "store returned",
             Self::ManyVanished => "many vanished",
-            Self::Told => "told",
+            Self::Reported => "told",
         }
     }
 }
 
 /// Until when a server is retained, and why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ServerHold {
+pub struct ServerRetention {
     /// The server is removed then unless its entry is back.
     pub until: Moment,
     /// Why it is retained.
-    pub reason: HoldReason,
+    pub reason: RetentionReason,
 }
 
 /// How the store's return was observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReturnSight {
+pub enum ReturnObservation {
     /// A call failed shortly before: entries missing from the first answer went missing while the
     /// store was away.
     InTime,
@@ -73,40 +73,40 @@
 
 /// Decides whether a server is retained whose entry is missing from the store.
 #[derive(Debug)]
-pub struct LapseHold {
-    leave_ms: u64,
+pub struct ExpiryRetention {
+    leave_time_ms: u64,
     until: Moment,
     /// Entries that went missing up to this store revision did so while the store was away.
     expired_by: u64,
     /// Entries that went missing up to this store revision may have done so long ago.
     uncertain_by: u64,
-    reason: HoldReason,
+    reason: RetentionReason,
 }
 
-impl Default for LapseHold {
+impl Default for ExpiryRetention {
     fn default() -> Self {
         Self {
-            leave_ms: DEFAULT_LEAVE_MS,
+            leave_time_ms: DEFAULT_LEAVE_TIME_MS,
             until: Moment(0),
             expired_by: 0,
             uncertain_by: 0,
-            reason: HoldReason::default(),
+            reason: RetentionReason::default(),
         }
     }
 }
 
-impl LapseHold {
+impl ExpiryRetention {
     /// Sets how long a leaving server serves.
-    pub const fn set_leave_ms(&mut self, leave_ms: u64) {
-        self.leave_ms = leave_ms;
+    pub const fn set_leave_time_ms(&mut self, leave_time_ms: u64) {
+        self.leave_time_ms = leave_time_ms;
     }
 
     /// The store was away and answers again at `now`, first with the store revision `revision`.
-    pub fn on_store_return(&mut self, sight: ReturnSight, revision: u64, now: Moment) {
-        self.open(now.plus(LAPSE_GRACE_MS), HoldReason::StoreReturned);
-        match sight {
-            ReturnSight::InTime => self.expired_by = revision,
-            ReturnSight::Late => self.uncertain_by = revision,
+    pub fn on_store_return(&mut self, observation: ReturnObservation, revision: u64, now: Moment) {
+        self.open(now.plus(EXPIRY_GRACE_MS), RetentionReason::StoreReturned);
+        match observation {
+            ReturnObservation::InTime => self.expired_by = revision,
+            ReturnObservation::Late => self.uncertain_by = revision,
         }
     }
 
@@ -114,16 +114,16 @@
     /// many servers do not leave at the same time, so their entries did not go missing long ago
     /// either.
     pub fn on_many_vanished(&mut self, now: Moment) {
-        self.open(now.plus(LAPSE_GRACE_MS), HoldReason::ManyVanished);
+        self.open(now.plus(EXPIRY_GRACE_MS), RetentionReason::ManyVanished);
         self.uncertain_by = 0;
     }
 
     /// Another host retains a server until `until`.
-    pub fn on_told(&mut self, until: Moment) {
-        self.open(until, HoldReason::Told);
+    pub fn on_reported(&mut self, until: Moment) {
+        self.open(until, RetentionReason::Reported);
     }
 
-    fn open(&mut self, until: Moment, reason: HoldReason) {
+    fn open(&mut self, until: Moment, reason: RetentionReason) {
         if until > self.until {
             self.until = until;
             self.reason = reason;
@@ -134,19 +134,19 @@
     /// at `now`; `None` when the server is removed.
     ///
     /// ```
-    /// use ledgespool::entry::lapse_hold::{LAPSE_GRACE_MS, LapseHold, ReturnSight};
+    /// use ledgespool::entry::expiry_retention::{EXPIRY_GRACE_MS, ExpiryRetention, ReturnObservation};
     /// use ledgespool::timer::Moment;
-    /// let mut lapses = LapseHold::default();
-    /// lapses.set_leave_ms(2_000);
-    /// assert!(lapses.server_hold(5, Moment(0)).is_none());
-    /// lapses.on_store_return(ReturnSight::InTime, 5, Moment(0));
-    /// let until = |by| lapses.server_hold(by, Moment(0)).map(|hold| hold.until);
-    /// assert_eq!(until(5), Some(Moment(LAPSE_GRACE_MS)));
+    /// let mut retention = ExpiryRetention::default();
+    /// retention.set_leave_time_ms(2_000);
+    /// assert!(retention.server_retention(5, Moment(0)).is_none());
+    /// retention.on_store_return(ReturnObservation::InTime, 5, Moment(0));
+    /// let until = |by| retention.server_retention(by, Moment(0)).map(|retention| retention.until);
+    /// assert_eq!(until(5), Some(Moment(EXPIRY_GRACE_MS)));
     /// assert_eq!(until(6), Some(Moment(1_400)), "it may be leaving");
     /// ```
     #[must_use]
-    pub fn server_hold(&self, by: u64, now: Moment) -> Option<ServerHold> {
-        let leaving_until = now.plus(self.leave_ms.saturating_sub(UPDATE_MARGIN_MS));
+    pub fn server_retention(&self, by: u64, now: Moment) -> Option<ServerRetention> {
+        let leaving_until = now.plus(self.leave_time_ms.saturating_sub(UPDATE_MARGIN_MS));
         let until = if by <= self.expired_by {
             self.until
         } else if by <= self.uncertain_by {
@@ -155,49 +155,49 @@
             self.until.min(leaving_until)
         };
         let reason = self.reason;
-        (until > now).then_some(ServerHold { until, reason })
+        (until > now).then_some(ServerRetention { until, reason })
     }
 }
 
 /// Until when another host retains servers that it reports as missing. Servers that it does not
 /// report are removed.
 #[derive(Debug, Default)]
-pub struct ToldHolds {
-    holds: collections::HashMap<String, Moment>,
+pub struct ReportedRetentions {
+    retentions: collections::HashMap<String, Moment>,
 }
 
-impl ToldHolds {
+impl ReportedRetentions {
     /// Builds the retentions reported at `now`.
     ///
     /// ```
-    /// use ledgespool::entry::lapse_hold::ToldHolds;
+    /// use ledgespool::entry::expiry_retention::ReportedRetentions;
     /// use ledgespool::entry::peer_message::GoneServer;
     /// use ledgespool::timer::Moment;
     /// let gone = |id: &str, hold_ms| GoneServer { id: id.to_owned(), hold_ms };
-    /// let told = ToldHolds::from_gone(&[gone("a", 0), gone("b", 300)], Moment(10));
-    /// assert!(told.server_hold("a").is_none());
-    /// assert_eq!(told.server_hold("b").map(|hold| hold.until), Some(Moment(310)));
+    /// let reported = ReportedRetentions::from_gone(&[gone("a", 0), gone("b", 300)], Moment(10));
+    /// assert!(reported.server_retention("a").is_none());
+    /// assert_eq!(reported.server_retention("b").map(|retention| retention.until), Some(Moment(310)));
     /// ```
     #[must_use]
     pub fn from_gone(gone: &[GoneServer], now: Moment) -> Self {
         let kept = gone.iter().filter(|server| server.hold_ms > 0);
-        let holds = kept.map(|server| (server.id.clone(), now.plus(server.hold_ms)));
+        let retentions = kept.map(|server| (server.id.clone(), now.plus(server.hold_ms)));
         Self {
-            holds: holds.collect(),
+            retentions: retentions.collect(),
         }
     }
 
     /// The retention of a server; `None` when it is removed.
     #[must_use]
-    pub fn server_hold(&self, id: &str) -> Option<ServerHold> {
-        let until = *self.holds.get(id)?;
-        let reason = HoldReason::Told;
-        Some(ServerHold { until, reason })
+    pub fn server_retention(&self, id: &str) -> Option<ServerRetention> {
+        let until = *self.retentions.get(id)?;
+        let reason = RetentionReason::Reported;
+        Some(ServerRetention { until, reason })
     }
 
     /// The latest end of all retentions.
     pub(super) fn longest(&self) -> Option<Moment> {
-        self.holds.values().max().copied()
+        self.retentions.values().max().copied()
     }
 }
 
@@ -208,5 +208,5 @@
     /// The store: this host decides.
     Store,
     /// Another host, which decided when it read the store.
-    Peer(&'a ToldHolds),
+    Peer(&'a ReportedRetentions),
 }
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -7,10 +7,10 @@
 use std::{cmp, collections, rc};
 
 use super::ended_servers::{EndKind, EndedServers, ServerStart};
+use super::expiry_retention::{ExpiryRetention, MissingSource, ReturnObservation};
 use super::fleet_change::{ChangeSpan, FleetChange, LapsedServer};
 use super::fleet_index::FleetIndex;
 use super::fleet_server::FleetServer;
-use super::lapse_hold::{LapseHold, MissingSource, ReturnSight};
 use super::past_notices::PastNotices;
 use super::server::{self, ServerObject, ServerRecord, ServerState};
 use super::settings::HallMap;
@@ -89,7 +89,7 @@
     pub(super) past_notices: PastNotices,
     revision: u64,
     changed: u64,
-    lapses: LapseHold,
+    lapses: ExpiryRetention,
     listed: bool,
 }
 
@@ -164,12 +164,12 @@
 
     /// A server that leaves serves on for this long, in milliseconds.
     pub const fn set_leave_ms(&mut self, leave_ms: u64) {
-        self.lapses.set_leave_ms(leave_ms);
+        self.lapses.set_leave_time_ms(leave_ms);
     }
 
     /// The store was away and answers again, first with its count `revision`: entries that go missing
     /// now have perhaps only lapsed.
-    pub fn on_store_return(&mut self, sight: ReturnSight, revision: u64, now: Moment) {
+    pub fn on_store_return(&mut self, sight: ReturnObservation, revision: u64, now: Moment) {
         self.lapses.on_store_return(sight, revision, now);
     }
 
@@ -219,7 +219,7 @@
             MissingSource::Store => self.hold_if_many(vanished, now),
             MissingSource::Peer(told) => {
                 if let Some(until) = told.longest() {
-                    self.lapses.on_told(until);
+                    self.lapses.on_reported(until);
                 }
             }
         }
@@ -360,8 +360,8 @@
     ) -> Option<FleetChange> {
         let server = rc::Rc::clone(self.server(id)?);
         let hold = match source {
-            MissingSource::Store => self.lapses.server_hold(by, now),
-            MissingSource::Peer(told) => told.server_hold(id),
+            MissingSource::Store => self.lapses.server_retention(by, now),
+            MissingSource::Peer(told) => told.server_retention(id),
         };
         let Some(hold) = hold else {
             return self.end(id, by, EndKind::Removed, now);
--- a/src/entry/fleet_change.rs
+++ b/src/entry/fleet_change.rs
@@ -1,6 +1,6 @@
 //! Changes of the known servers: what the store or another host tells, and what came of it.
 
-use super::lapse_hold::HoldReason;
+use super::expiry_retention::RetentionReason;
 
 /// What a change did to the fleet, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// How much longer it is kept, in milliseconds.
     pub hold_ms: u64,
     /// Why it is kept.
-    pub reason: HoldReason,
+    pub reason: RetentionReason,
 }
 
 /// How far some changes of servers bring a host.
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -12,8 +12,8 @@
 use rand::Rng as _;
 use serde_json::json;
 
+use super::expiry_retention::ReturnObservation;
 use super::host::EntryHost;
-use super::lapse_hold::ReturnSight;
 use super::store::{ObjectKind, ObjectStore, StoreFault, StoreResult};
 use super::store_news;
 use super::wire::WireProtocol;
@@ -237,10 +237,10 @@
         }
     }
 
-    fn return_observation(&self, now: Moment) -> ReturnSight {
+    fn return_observation(&self, now: Moment) -> ReturnObservation {
         match self.last_failed {
-            Some(failed) if now.since(failed) <= RETURN_OBSERVED_MS => ReturnSight::InTime,
-            _ => ReturnSight::Late,
+            Some(failed) if now.since(failed) <= RETURN_OBSERVED_MS => ReturnObservation::InTime,
+            _ => ReturnObservation::Late,
         }
     }
 
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -8,9 +8,9 @@
 use serde_json::json;
 use tokio::net::UdpSocket;
 
+use super::expiry_retention::{MissingSource, ReportedRetentions};
 use super::fleet_change::ChangeSpan;
 use super::host::EntryHost;
-use super::lapse_hold::{MissingSource, ToldHolds};
 use super::partial_news::PartialNewsList;
 use super::peer_message::{self, FleetNews, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
 use super::peers::PeerChange;
@@ -321,7 +321,7 @@
 }
 
 pub(super) fn on_fleet_news<W: WireProtocol>(host: &EntryHost<W>, news: &FleetNews) {
-    let told = ToldHolds::from_gone(&news.gone, host.now());
+    let told = ReportedRetentions::from_gone(&news.gone, host.now());
     let whole = host.socket.partial.borrow_mut().on_part(news);
     let fleet = host.fleet.borrow();
     let contiguous = whole && fleet.is_listed() && news.since <= fleet.revision();
--- a/src/entry/host_fleet.rs
+++ b/src/entry/host_fleet.rs
@@ -3,10 +3,10 @@
 
 use serde_json::json;
 
+use super::expiry_retention::MissingSource;
 use super::fleet_change::{ChangeSpan, FleetChange};
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
-use super::lapse_hold::MissingSource;
 use super::store::{ObjectChange, StoredObject};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, net, path, time};
 
-use super::lapse_hold;
+use super::expiry_retention;
 use crate::error;
 use crate::object_reader;
 use crate::source;
@@ -190,7 +190,8 @@
 /// tenth of all requests are retries, and cold servers get no more than they declare.
 fn read_bounds(reader: &mut object_reader::ObjectReader<'_, '_>) -> SharedBounds {
     const STOP_GRACE: time::Duration = time::Duration::from_secs(5);
-    const LEAVE_TIME: time::Duration = time::Duration::from_millis(lapse_hold::DEFAULT_LEAVE_MS);
+    const LEAVE_TIME: time::Duration =
+        time::Duration::from_millis(expiry_retention::DEFAULT_LEAVE_TIME_MS);
     const TIME_TO_LIVE: time::Duration = time::Duration::from_secs(5);
     const RETRY_WINDOW: time::Duration = time::Duration::from_secs(10);
     const RETRY_RATIO: f64 = 0.1;
--- a/src/entry/store_era.rs
+++ b/src/entry/store_era.rs
@@ -7,8 +7,8 @@
 
 use serde_json::json;
 
+use super::expiry_retention::ReturnObservation;
 use super::host::EntryHost;
-use super::lapse_hold::ReturnSight;
 use super::store_position;
 use super::wire::WireProtocol;
 use crate::event::EventCode;
@@ -37,7 +37,7 @@
         self.note(EventCode::StoreEraBegan, fields);
         let now = self.now();
         let mut fleet = self.fleet.borrow_mut();
-        fleet.on_store_return(ReturnSight::InTime, position, now);
+        fleet.on_store_return(ReturnObservation::InTime, position, now);
         drop(fleet);
         self.write_barred_again();
     }
--- a/src/entry/store_news.rs
+++ b/src/entry/store_news.rs
@@ -2,11 +2,11 @@
 
 use serde_json::json;
 
+use super::expiry_retention::MissingSource;
 use super::fleet_change::ChangeSpan;
 use super::gossip;
 use super::host::EntryHost;
 use super::host_gossip;
-use super::lapse_hold::MissingSource;
 use super::peer_message::{GoneHost, HostNews};
 use super::store::{ChangeBatch, ObjectContent, ObjectKind, StoredObject};
 use super::wire::WireProtocol;
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -9,9 +9,9 @@
 use ledgespool::entry::configuration::{
     CallerLimits, RequestKind, RouteRule, RouteTable, ServiceConfiguration, ServiceShare,
 };
+use ledgespool::entry::expiry_retention::MissingSource;
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::hash;
-use ledgespool::entry::lapse_hold::MissingSource;
 use ledgespool::entry::region_distance::RegionDistances;
 use ledgespool::entry::region_shares::{RegionRoom, RegionWeights};
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -1,9 +1,11 @@
 //! What an entry host believes of servers, under any order of news.
 
 use ledgespool::entry::budget::{ColdShare, RetryShare, RetryWindow};
+use ledgespool::entry::expiry_retention::{
+    EXPIRY_GRACE_MS, MissingSource, ReportedRetentions, ReturnObservation,
+};
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_change::{ChangeSpan, FleetChange};
-use ledgespool::entry::lapse_hold::{LAPSE_GRACE_MS, MissingSource, ReturnSight, ToldHolds};
 use ledgespool::entry::news_part;
 use ledgespool::entry::peer_message::GoneServer;
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
@@ -150,7 +152,7 @@
 fn missing_entries_are_kept_for_a_moment_after_the_store_was_away() {
     let mut fleet = Fleet::default();
     show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
-    fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::InTime, 9, Moment(1_000));
     let noted = show_list(&mut fleet, &[], 9, 1_000);
     assert_eq!(noted.len(), 2);
     assert_eq!(ids(&fleet), ["a", "b"]);
@@ -161,8 +163,12 @@
         span(11),
         2_000,
     );
-    assert!(fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS - 1)).is_empty());
-    let noted = fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS));
+    assert!(
+        fleet
+            .on_tick(Moment(1_000 + EXPIRY_GRACE_MS - 1))
+            .is_empty()
+    );
+    let noted = fleet.on_tick(Moment(1_000 + EXPIRY_GRACE_MS));
     assert_eq!(noted, [FleetChange::Gone("b".to_owned())]);
     assert_eq!(ids(&fleet), ["a"]);
 }
@@ -263,13 +269,13 @@
 fn a_server_that_may_have_lapsed_is_not_told_as_present() {
     let mut fleet = Fleet::default();
     show_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
-    fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::InTime, 9, Moment(1_000));
     show_changes(&mut fleet, &[change(object("a", 3), true)], span(9), 1_000);
     assert_eq!(ids(&fleet), ["a", "b"], "it is kept here");
     let told: Vec<_> = fleet.objects().map(|object| object.record.id).collect();
     assert_eq!(told, ["b"], "nobody else could see its time end");
     let told = fleet.changes_since(8, Moment(1_300)).expect("it is known");
-    assert_eq!(told.gone, [gone("a", LAPSE_GRACE_MS - 300)]);
+    assert_eq!(told.gone, [gone("a", EXPIRY_GRACE_MS - 300)]);
 }
 
 #[test]
@@ -285,7 +291,7 @@
     assert_eq!(ids(&fleet).len(), 10, "two may end at the same time");
     show_changes(&mut fleet, &gone(2..5), span(10), 2);
     assert_eq!(ids(&fleet).len(), 10, "three of ten have perhaps lapsed");
-    fleet.on_tick(Moment(2 + LAPSE_GRACE_MS));
+    fleet.on_tick(Moment(2 + EXPIRY_GRACE_MS));
     assert_eq!(ids(&fleet).len(), 7, "and are gone when they stay away");
 }
 
@@ -320,7 +326,7 @@
 #[test]
 fn what_goes_missing_after_the_stores_return_is_kept_for_less_than_a_leaving_server_serves() {
     let (mut fleet, servers) = twelve_servers();
-    fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::InTime, 9, Moment(1_000));
     // This one went missing while the store was away.
     show_changes(&mut fleet, &ends(&servers[..1]), span(9), 1_000);
     show_changes(&mut fleet, &ends(&servers[1..2]), span(10), 1_100);
@@ -328,7 +334,7 @@
         let noted = fleet.on_tick(Moment(now));
         noted.len()
     };
-    let moments = [1_100, 1_100 + LEAVE_MS - 300, 1_000 + LAPSE_GRACE_MS];
+    let moments = [1_100, 1_100 + LEAVE_MS - 300, 1_000 + EXPIRY_GRACE_MS];
     assert_eq!(moments.map(gone), [0, 1, 1]);
 }
 
@@ -336,7 +342,7 @@
 #[test]
 fn a_return_that_is_noticed_late_keeps_only_what_goes_missing_after_it() {
     let (mut fleet, servers) = twelve_servers();
-    fleet.on_store_return(ReturnSight::Late, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::Late, 9, Moment(1_000));
     let at_first = ends(&servers[..1]);
     show_changes(&mut fleet, &at_first, span(9), 1_000);
     assert_eq!(ids(&fleet).len(), 11, "it may have left long ago");
@@ -351,7 +357,7 @@
 #[test]
 fn a_group_that_is_missing_at_a_late_noticed_return_is_kept_for_a_moment() {
     let (mut fleet, servers) = twelve_servers();
-    fleet.on_store_return(ReturnSight::Late, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::Late, 9, Moment(1_000));
     let at_first = ends(&servers[..6]);
     show_changes(&mut fleet, &at_first, span(9), 1_000);
     assert_eq!(ids(&fleet).len(), 12);
@@ -362,7 +368,7 @@
 #[test]
 fn a_host_keeps_servers_as_long_as_it_is_told_and_no_longer() {
     let (mut fleet, servers) = twelve_servers();
-    let told = ToldHolds::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
+    let told = ReportedRetentions::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
     fleet.on_changes(
         &ends(&servers[..6]),
         span(11),
--- a/tests/entry_fleet_size.rs
+++ b/tests/entry_fleet_size.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+use ledgespool::entry::expiry_retention::MissingSource;
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_change::ChangeSpan;
 use ledgespool::entry::fleet_server::FleetServer;
-use ledgespool::entry::lapse_hold::MissingSource;
 use ledgespool::entry::server::{ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
 use ledgespool::entry::store::{ObjectChange, ObjectContent, StoredObject};
--- a/tests/entry_restart.rs
+++ b/tests/entry_restart.rs
@@ -5,10 +5,10 @@
 
 use std::rc::Rc;
 
+use ledgespool::entry::expiry_retention::MissingSource;
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_change::{ChangeSpan, FleetChange};
 use ledgespool::entry::fleet_server::FleetServer;
-use ledgespool::entry::lapse_hold::MissingSource;
 use ledgespool::entry::packed_servers::PackedServers;
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
--- a/tests/entry_server_notice.rs
+++ b/tests/entry_server_notice.rs
@@ -4,9 +4,9 @@
 
 use ledgespool::entry::budget::ColdShare;
 use ledgespool::entry::choice::{self, ChoiceQuery, NoServer, ServerChoice};
+use ledgespool::entry::expiry_retention::MissingSource;
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_server::FleetServer;
-use ledgespool::entry::lapse_hold::MissingSource;
 use ledgespool::entry::region_distance::RegionDistances;
 use ledgespool::entry::region_shares::RegionWeights;
 use ledgespool::entry::server::{ServerRecord, ServerState};
