--- a/src/entry/fleet_told.rs
+++ b/src/entry/fleet_report.rs
@@ -16,7 +16,7 @@
 
 impl Fleet {
     /// Every server with an entry in the store. A server whose entry may only have expired is
-    /// reported by [`Self::kept`] instead.
+    /// reported by [`Self::retained`] instead.
     pub fn objects(&self) -> impl Iterator<Item = ServerObject> {
         self.objects_after(None)
     }
@@ -38,13 +38,13 @@
             return None;
         }
         // A server whose entry expired and came back is not removed any more.
-        let ended = self.ended.since(since)?.filter(|id| !self.knows(id));
-        let ended = ended.map(|id| GoneServer {
+        let removed = self.ended.since(since)?.filter(|id| !self.knows(id));
+        let removed = removed.map(|id| GoneServer {
             id: id.clone(),
             hold_ms: 0,
         });
         // A retained server is removed at the end of its retention without a change in the store.
-        let gone = ended.chain(self.kept(now));
+        let gone = removed.chain(self.retained(now));
         Some(FleetDifference {
             changed: self.objects_after(Some(since)).collect(),
             gone: gone.collect(),
@@ -52,7 +52,7 @@
     }
 
     /// Servers that are retained although their entries are missing, and the remaining time.
-    pub fn kept(&self, now: Moment) -> impl Iterator<Item = GoneServer> {
+    pub fn retained(&self, now: Moment) -> impl Iterator<Item = GoneServer> {
         self.missing().filter_map(move |server| {
             let hold_ms = server.missing_until()?.since(now);
             let id = server.id.to_string();
@@ -63,7 +63,7 @@
     /// How much longer a server with a missing entry is retained, in milliseconds; 0 when it is
     /// removed.
     #[must_use]
-    pub fn kept_ms(&self, id: &str, now: Moment) -> u64 {
+    pub fn retention_ms(&self, id: &str, now: Moment) -> u64 {
         let server = self.server(id);
         let until = server.and_then(|server| server.missing_until());
         until.map_or(0, |until| until.since(now))
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -134,7 +134,7 @@
 ) -> Vec<GoneServer> {
     let fleet = host.fleet.borrow();
     let gone = ids.into_iter().map(|id| {
-        let hold_ms = fleet.kept_ms(&id, now);
+        let hold_ms = fleet.retention_ms(&id, now);
         GoneServer { id, hold_ms }
     });
     gone.collect()
--- a/src/entry/self_report.rs
+++ b/src/entry/self_report.rs
@@ -102,7 +102,7 @@
         PeerSnapshot {
             configuration: routes.map(|routes| routes.configuration().clone()),
             servers: PackedServers::from_objects(fleet.objects()),
-            kept: fleet.kept(self.now()).collect(),
+            kept: fleet.retained(self.now()).collect(),
             fleet_revision: if fleet.is_listed() {
                 fleet.revision()
             } else {
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -378,7 +378,7 @@
     );
     assert_eq!(ids(&fleet).len(), 7, "one of the six is kept");
     assert_eq!(
-        fleet.kept_ms("s-01", Moment(150)),
+        fleet.retention_ms("s-01", Moment(150)),
         300,
         "as it is passed on"
     );
