--- a/src/entry/ended_servers.rs
+++ b/src/entry/ended_servers.rs
@@ -111,7 +111,7 @@
     /// entry is there again, it comes from an older copy, or its server lives and has written it again.
     pub(super) fn ended_in_former_era(&self, start: ServerStart<'_>, position: u64) -> bool {
         let last = self.last_end(start.id);
-        let era = store_position::era_of;
+        let era = store_position::epoch_of;
         last.is_some_and(|ended| era(ended.by) < era(position) && start.born <= ended.born)
     }
 
--- a/src/entry/evacuation.rs
+++ b/src/entry/evacuation.rs
@@ -6,7 +6,7 @@
 
 use super::host::EntryHost;
 use super::wire::WireProtocol;
-use super::{store_era, store_position};
+use super::{store_epoch, store_position};
 use crate::event::EventCode;
 use crate::timer::Moment;
 
@@ -53,9 +53,10 @@
     }
 
     fn take_over(&mut self, stored: collections::BTreeSet<String>, revision: u64, now: Moment) {
-        let era_rises = store_position::era_of(revision) > store_position::era_of(self.revision);
+        let era_rises =
+            store_position::epoch_of(revision) > store_position::epoch_of(self.revision);
         if era_rises && self.revision > 0 {
-            let until = now.plus(store_era::SETTLE_MS);
+            let until = now.plus(store_epoch::EPOCH_SETTLE_MS);
             let lost = self.stored.difference(&stored);
             self.held.extend(lost.map(|hall| (hall.clone(), until)));
         }
--- a/src/entry/fleet_put.rs
+++ b/src/entry/fleet_put.rs
@@ -9,7 +9,7 @@
 use super::server::{self, ServerRecord, ServerState};
 use super::settings::HallMap;
 use super::store::{ObjectContent, StoredObject};
-use super::{store_era, store_position};
+use super::{store_epoch, store_position};
 use crate::timer::Moment;
 
 impl Fleet {
@@ -54,7 +54,7 @@
         let restarted =
             known.is_some_and(|known| server::start_order(record.born, known.stored.born).is_gt());
         let may_be_copy = !restarted && self.may_be_copy(object, record);
-        let held_until = may_be_copy.then(|| now.plus(store_era::SETTLE_MS));
+        let held_until = may_be_copy.then(|| now.plus(store_epoch::EPOCH_SETTLE_MS));
         if !restarted && let Some(entry) = self.entries.get_mut(&*record.id) {
             entry.revision = object.revision;
             let change = entry.update(record, now);
@@ -101,7 +101,7 @@
             };
             return self.ended.ended_in_former_era(start, object.revision);
         };
-        let era = store_position::era_of;
+        let era = store_position::epoch_of;
         known.stored.state == ServerState::Draining && era(object.revision) > era(known.revision)
     }
 }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -96,7 +96,7 @@
                     must_list = false;
                 }
                 // The state from before is out of date as well.
-                Err(StoreFault::HistoryGone | StoreFault::FormerEra) => must_list = true,
+                Err(StoreFault::HistoryGone | StoreFault::FormerEpoch) => must_list = true,
                 Err(_) => self.back_off().await,
             }
         }
@@ -180,7 +180,7 @@
     /// `result` is the store revision in the answer.
     fn record_call(&mut self, call: &'static str, began: Moment, result: Result<u64, &StoreFault>) {
         let label = result_label(result);
-        if let Some(text) = self.store.take_odd_era() {
+        if let Some(text) = self.store.take_unreadable_epoch() {
             self.host
                 .note(EventCode::StoreEraUnreadable, json!({ "era": text }));
         }
@@ -195,7 +195,7 @@
             }
             Err(StoreFault::Conflict | StoreFault::Absent) => self.on_answered(call, began, None),
             // The following list shows whether the store is there.
-            Err(StoreFault::HistoryGone | StoreFault::FormerEra) => {}
+            Err(StoreFault::HistoryGone | StoreFault::FormerEpoch) => {}
             Err(StoreFault::Unreachable | StoreFault::Refused(_) | StoreFault::Malformed(_)) => {
                 if self.host.watch.on_call(self.kind, true) {
                     self.on_lost(call, label);
@@ -259,7 +259,7 @@
         Err(StoreFault::Unreachable) => "unreachable",
         Err(StoreFault::Refused(_)) => "refused",
         Err(StoreFault::HistoryGone) => "history_gone",
-        Err(StoreFault::FormerEra) => "former_era",
+        Err(StoreFault::FormerEpoch) => "former_era",
         Err(_) => "malformed",
     }
 }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -92,7 +92,7 @@
     pub(super) leaving_news: LeavingNews,
     pub(super) rollouts: RolloutRole,
     /// The store's era, as this host or another has seen it.
-    pub(super) store_era: cell::Cell<u64>,
+    pub(super) store_epoch: cell::Cell<u64>,
 }
 
 impl<W: WireProtocol> EntryHost<W> {
@@ -138,7 +138,7 @@
             server_limits: ServerLimitRole::default(),
             leaving_news: LeavingNews::default(),
             rollouts: RolloutRole::default(),
-            store_era: cell::Cell::new(0),
+            store_epoch: cell::Cell::new(0),
         }
     }
 
@@ -254,7 +254,7 @@
             limit_hosts: self.limits.hosts(),
             suspects: self.quarantine.digest().count,
             barred_requests: self.quarantine.barred_count(),
-            store_era: self.store_era.get(),
+            store_epoch: self.store_epoch.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
             resting_servers: self.count_servers(|server| server.notice().is_resting(now)),
--- a/src/entry/metrics_page.rs
+++ b/src/entry/metrics_page.rs
@@ -141,7 +141,7 @@
     /// Requests that are blocked from all servers.
     pub barred_requests: usize,
     /// The epoch of the store as known to this host; 0 if the store reports none.
-    pub store_era: u64,
+    pub store_epoch: u64,
     /// Servers that advertise a limit.
     pub limited_servers: usize,
     /// Servers that have announced that they leave, themselves or through others.
@@ -290,7 +290,7 @@
                 "ledgespool_configuration_version",
                 current.configuration_version,
             ),
-            ("ledgespool_store_era", current.store_era),
+            ("ledgespool_store_era", current.store_epoch),
             ("ledgespool_servers", current.servers as u64),
             ("ledgespool_servers_indexed_total", current.servers_indexed),
             ("ledgespool_peers", current.peers as u64),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -86,7 +86,7 @@
 mod shared_names;
 pub mod stop;
 pub mod store;
-mod store_era;
+mod store_epoch;
 mod store_news;
 pub mod store_position;
 pub mod watch_role;
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -141,7 +141,7 @@
     /// The answer belongs to an earlier epoch of the store: what it reports or confirms may be
     /// lost.
     #[error("the store has returned from an older backup since it gave this answer")]
-    FormerEra,
+    FormerEpoch,
     /// The object is not at the expected revision, or already exists.
     #[error("the object is at another revision")]
     Conflict,
@@ -163,10 +163,10 @@
 )]
 pub trait ObjectStore: 'static {
     /// The last seen epoch of the store; 0 if the store reports none.
-    fn era(&self) -> u64;
+    fn epoch(&self) -> u64;
 
     /// Takes the last reported epoch that could not be parsed, if any.
-    fn take_odd_era(&self) -> Option<String>;
+    fn take_unreadable_epoch(&self) -> Option<String>;
 
     /// One page of a kind, after the name `after`.
     async fn list(&self, kind: ObjectKind, after: Option<&str>) -> StoreResult<ObjectPage>;
--- a/src/entry/store_position.rs
+++ b/src/entry/store_position.rs
@@ -10,7 +10,7 @@
 const REVISION_BITS: u32 = 40;
 const REVISION_MASK: u64 = (1 << REVISION_BITS) - 1;
 /// The highest epoch that a position can hold.
-pub const MAX_ERA: u64 = (1 << (63 - REVISION_BITS)) - 1;
+pub const MAX_EPOCH: u64 = (1 << (63 - REVISION_BITS)) - 1;
 
 /// The position of a revision within an epoch.
 ///
@@ -19,8 +19,8 @@
 /// let before = store_position::from_parts(1, 900);
 /// let after = store_position::from_parts(2, 7);
 /// assert!(after > before);
-/// assert_eq!(store_position::era_of(after), 2);
-/// assert_eq!(store_position::count_of(after), 7);
+/// assert_eq!(store_position::epoch_of(after), 2);
+/// assert_eq!(store_position::revision_of(after), 7);
 /// ```
 #[must_use]
 pub const fn from_parts(epoch: u64, revision: u64) -> u64 {
@@ -29,12 +29,12 @@
 
 /// The epoch of a position; 0 if the store reports none.
 #[must_use]
-pub const fn era_of(position: u64) -> u64 {
+pub const fn epoch_of(position: u64) -> u64 {
     position >> REVISION_BITS
 }
 
 /// The store revision of a position.
 #[must_use]
-pub const fn count_of(position: u64) -> u64 {
+pub const fn revision_of(position: u64) -> u64 {
     position & REVISION_MASK
 }
