--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -15,7 +15,7 @@
 use super::expiry_retention::ReturnObservation;
 use super::host::EntryHost;
 use super::store::{ObjectKind, ObjectStore, StoreFault, StoreResult};
-use super::store_news;
+use super::store_updates;
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 use crate::timer::Moment;
@@ -143,7 +143,7 @@
             after = last;
         }
         let revision = revision.unwrap_or(0);
-        store_news::on_list(&self.host, self.kind, &objects, revision);
+        store_updates::on_list(&self.host, self.kind, &objects, revision);
         Ok(revision)
     }
 
@@ -158,7 +158,7 @@
         self.record_call("watch", began, batch.as_ref().map(|batch| batch.revision));
         let batch = batch?;
         if !batch.changes.is_empty() {
-            store_news::on_changes(&self.host, self.kind, &batch);
+            store_updates::on_changes(&self.host, self.kind, &batch);
             // Changes come in groups; receiving a group at once saves calls.
             tokio::time::sleep(BATCH_PAUSE).await;
         } else if self.kind == ObjectKind::Servers {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -87,7 +87,7 @@
 pub mod stop;
 pub mod store;
 mod store_epoch;
-mod store_news;
 pub mod store_position;
+mod store_updates;
 pub mod watch_role;
 pub mod wire;
