--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -17,7 +17,7 @@
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use super::wire::WireProtocol;
 use super::{
-    catch_up, host_gossip, join_asking, limit_role, news_part, quarantine_role, server_limit_role,
+    catch_up, host_gossip, join_client, limit_role, news_part, quarantine_role, server_limit_role,
 };
 use crate::error::{self, Error};
 use crate::event::EventCode;
@@ -169,7 +169,7 @@
 pub(super) fn announce_start<W: WireProtocol>(host: &EntryHost<W>) {
     let has_read = host.peers.borrow().has_read_entries();
     let is_due = host.is_ready() && host.is_starting() && has_read;
-    if !is_due || !host.join.on_announced() {
+    if !is_due || !host.join.set_announced() {
         return;
     }
     let targets = host.peers.borrow().start_targets(&host.settings().region);
@@ -178,7 +178,7 @@
         &PeerMessage::Heartbeat(Box::new(host.heartbeat(true))),
         &targets,
     );
-    host.join.on_met(host.record());
+    host.join.on_discovered(host.record());
 }
 
 /// Tells some hosts at once of this one, which can serve now: by them look-ups learn of it.
@@ -297,7 +297,7 @@
     host.on_leaving_told(&heartbeat.leaving_servers, &heartbeat.host);
     host.on_rollout_news(&heartbeat.rollouts);
     if heartbeat.ready && !heartbeat.leaving {
-        join_asking::on_ready_heard(host, heartbeat);
+        join_client::on_ready_peer(host, heartbeat);
     }
     catch_up::on_heartbeat(host, heartbeat);
 }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -199,7 +199,7 @@
         *self.routes.borrow_mut() = Some(rc::Rc::new(table));
         self.note(EventCode::ConfigInstalled, fields);
         self.limits.on_configured();
-        self.on_learned(source);
+        self.on_state_received(source);
     }
 
     fn note_faults(&self, configuration: &ServiceConfiguration) {
@@ -281,14 +281,14 @@
         let fleet = self.fleet.borrow();
         let is_gone = |id: &str| !fleet.knows(id);
         self.pool.borrow_mut().on_tick(is_gone, now);
-        self.forget_written_snapshot();
+        self.drop_expired_snapshot();
         self.look_for_all_hosts(now);
         self.quarantine.on_tick(now);
         self.on_limit_tick();
         self.on_leaving_tick();
         self.on_evacuation_tick();
         self.on_rollout_tick();
-        join::spread_met(self);
+        join::broadcast_discovered(self);
         self.log.flush();
     }
 
--- a/src/entry/host_fleet.rs
+++ b/src/entry/host_fleet.rs
@@ -32,7 +32,7 @@
         let changes = fleet.on_list(objects, revision, missing, &settings.halls, now);
         drop(fleet);
         self.note_fleet(&changes, source);
-        self.on_learned(source);
+        self.on_state_received(source);
     }
 
     /// Takes over changes of servers in their order.
--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -2,7 +2,7 @@
 //! callers' requests until this host can serve.
 //!
 //! [`super::join_role`] decides whether a join request gets a snapshot or a redirect to another
-//! host. [`super::join_asking`] is the requesting side.
+//! host. [`super::join_client`] is the requesting side.
 
 use std::{cell, time};
 
@@ -14,7 +14,7 @@
 
 use super::host::EntryHost;
 use super::host_gossip;
-use super::join_role::{JoinDecision, JoinQuestion, JoinRole, ParkedQuestions};
+use super::join_role::{JoinDecision, JoinRequest, JoinRole, PendingJoinRequests};
 use super::peer_message::{self, JoinAnswer, PackedSnapshot, PeerFormatError};
 use super::peers::HostRecord;
 use super::quarantine::message::QuarantineDigest;
@@ -42,14 +42,14 @@
 #[derive(Debug, Default)]
 pub struct JoinState {
     role: cell::RefCell<JoinRole>,
-    pending: cell::RefCell<ParkedQuestions<oneshot::Sender<JoinDecision>>>,
+    pending: cell::RefCell<PendingJoinRequests<oneshot::Sender<JoinDecision>>>,
     encoded: cell::RefCell<Option<EncodedSnapshot>>,
     /// Whether this host is connected to a host that may send it a snapshot.
-    pub(super) contact: cell::Cell<bool>,
+    pub(super) has_reached_peer: cell::Cell<bool>,
     /// Newly discovered hosts that have not yet been announced to the others.
-    met: cell::RefCell<Vec<HostRecord>>,
+    discovered: cell::RefCell<Vec<HostRecord>>,
     /// Whether a join request to a host that advertised itself as ready is in flight.
-    pub(super) asks_heard: cell::Cell<bool>,
+    pub(super) is_asking_ready_peer: cell::Cell<bool>,
     /// Whether this host was announced as one of the first that can serve.
     announced: cell::Cell<bool>,
     /// Whether this host was ever able to serve.
@@ -59,17 +59,17 @@
 
 impl JoinState {
     /// Whether this host has reached another one that sends, or sent, it a snapshot.
-    pub(super) const fn has_contact(&self) -> bool {
-        self.contact.get()
+    pub(super) const fn has_reached_peer(&self) -> bool {
+        self.has_reached_peer.get()
     }
 
     /// Queues this run of a host for announcement to the others.
-    pub(super) fn on_met(&self, record: HostRecord) {
-        self.met.borrow_mut().push(record);
+    pub(super) fn on_discovered(&self, record: HostRecord) {
+        self.discovered.borrow_mut().push(record);
     }
 
     /// Marks this host as announced; returns whether it was not announced before.
-    pub(super) fn on_announced(&self) -> bool {
+    pub(super) fn set_announced(&self) -> bool {
         !self.announced.replace(true)
     }
 }
@@ -95,7 +95,7 @@
 impl<W: WireProtocol> EntryHost<W> {
     /// Called after new state was received: if this host can serve now, resumes waiting requests
     /// and answers pending join requests.
-    pub(super) fn on_learned(&self, source: &str) {
+    pub(super) fn on_state_received(&self, source: &str) {
         if !self.is_ready() {
             return;
         }
@@ -118,7 +118,7 @@
 
     /// Waits a short time until this host can serve, if it has just started. Without the wait, all
     /// requests in the first tenths of a second are refused, and callers retry only once or twice.
-    pub(super) async fn wait_for_knowledge(&self) {
+    pub(super) async fn wait_until_ready(&self) {
         if self.join.complete.get() || !self.is_starting() {
             return;
         }
@@ -133,8 +133,8 @@
         !self.is_leaving() && self.now().0 <= STARTUP_PERIOD_MS
     }
 
-    fn decide_join(&self, request: &JoinQuestion) -> JoinDecision {
-        let bytes = self.written_snapshot().map_or(0, |encoded| encoded.len());
+    fn decide_join(&self, request: &JoinRequest) -> JoinDecision {
+        let bytes = self.encoded_snapshot().map_or(0, |encoded| encoded.len());
         let link_mbps = self.settings().link_mbps;
         let now = self.now();
         let mut role = self.join.role.borrow_mut();
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// `Malformed` when it cannot be encoded.
-    pub fn written_snapshot(&self) -> Result<Bytes, PeerFormatError> {
+    pub fn encoded_snapshot(&self) -> Result<Bytes, PeerFormatError> {
         let now = self.now();
         let state = self.snapshot_state();
         let mut encoded = self.join.encoded.borrow_mut();
@@ -180,7 +180,7 @@
     }
 
     /// Frees the encoded snapshot, which is needed only while other hosts start.
-    pub(super) fn forget_written_snapshot(&self) {
+    pub(super) fn drop_expired_snapshot(&self) {
         let now = self.now();
         let mut encoded = self.join.encoded.borrow_mut();
         let is_old = |encoded: &EncodedSnapshot| now.since(encoded.at) >= SNAPSHOT_REUSE_MS;
@@ -196,7 +196,7 @@
     body: Incoming,
 ) -> Option<Result<Bytes, PeerFormatError>> {
     let body = Limited::new(body, MAX_REQUEST_BYTES).collect().await;
-    let request = match peer_message::from_bytes::<JoinQuestion>(&body.ok()?.to_bytes()) {
+    let request = match peer_message::from_bytes::<JoinRequest>(&body.ok()?.to_bytes()) {
         Ok(request) => request,
         Err(fault) => {
             host.note_malformed("a host that starts", &fault);
@@ -210,8 +210,8 @@
         hold_until_ready(host, request).await?
     };
     match decision {
-        JoinDecision::Serve => Some(host.written_snapshot()),
-        JoinDecision::Ask(address) => {
+        JoinDecision::Serve => Some(host.encoded_snapshot()),
+        JoinDecision::Redirect(address) => {
             let encoded = peer_message::to_bytes(&JoinAnswer::Ask(address));
             Some(encoded.map(Bytes::from))
         }
@@ -220,26 +220,26 @@
 
 /// Adds the requester to the known hosts, and announces it to the others unless this run of it is
 /// known already.
-fn on_requester<W: WireProtocol>(host: &EntryHost<W>, request: &JoinQuestion) {
+fn on_requester<W: WireProtocol>(host: &EntryHost<W>, request: &JoinRequest) {
     let record = &request.record;
     if host.peers.borrow().run_of(&record.name) < record.run {
         host_gossip::learn_hosts(host, std::slice::from_ref(record));
-        host.join.on_met(record.clone());
+        host.join.on_discovered(record.clone());
     }
 }
 
 /// Announces the hosts that have sent join requests since the last call.
-pub(super) fn spread_met<W: WireProtocol>(host: &EntryHost<W>) {
-    let met = host.join.met.take();
-    host_gossip::spread_hosts(host, &met, &[]);
+pub(super) fn broadcast_discovered<W: WireProtocol>(host: &EntryHost<W>) {
+    let discovered = host.join.discovered.take();
+    host_gossip::spread_hosts(host, &discovered, &[]);
 }
 
 async fn hold_until_ready<W: WireProtocol>(
     host: &EntryHost<W>,
-    request: JoinQuestion,
+    request: JoinRequest,
 ) -> Option<JoinDecision> {
     let (requester, decision) = oneshot::channel();
-    let pending = host.join.pending.borrow_mut().park(request, requester);
+    let pending = host.join.pending.borrow_mut().hold(request, requester);
     pending.ok()?;
     tokio::time::timeout(PENDING_TIMEOUT, decision)
         .await
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_client.rs
@@ -19,7 +19,7 @@
 use super::host::EntryHost;
 use super::host_gossip;
 use super::join;
-use super::join_role::{JoinQuestion, MAX_HOPS};
+use super::join_role::{JoinRequest, MAX_HOPS};
 use super::peer_message::{self, JoinAnswer, PeerHeartbeat, PeerSnapshot};
 use super::store::{ObjectStore, StoreFault};
 use super::wire::WireProtocol;
@@ -96,7 +96,7 @@
         let sources = sources_of(&host, failed_source);
         failed_source = join_once(&host, &sources).await;
         if failed_source.is_some() {
-            host.join.contact.set(false);
+            host.join.has_reached_peer.set(false);
         }
         if host.is_ready() {
             break;
@@ -109,21 +109,21 @@
 }
 
 /// Sends a join request to a host that advertises itself as ready, while this host is not.
-pub(super) fn on_ready_heard<W: WireProtocol>(
+pub(super) fn on_ready_peer<W: WireProtocol>(
     host: &rc::Rc<EntryHost<W>>,
     heartbeat: &PeerHeartbeat,
 ) {
-    if host.join.complete.get() || host.join.asks_heard.get() {
+    if host.join.complete.get() || host.join.is_asking_ready_peer.get() {
         return;
     }
     let Some(source) = host.peers.borrow().peer_address(&heartbeat.host) else {
         return;
     };
-    host.join.asks_heard.set(true);
+    host.join.is_asking_ready_peer.set(true);
     let host = rc::Rc::clone(host);
     tokio::task::spawn_local(async move {
         let asked = join_once(&host, &[source]).await;
-        host.join.asks_heard.set(false);
+        host.join.is_asking_ready_peer.set(false);
         if asked.is_none() && host.is_ready() {
             announce_to_region(&host, source);
         }
@@ -176,7 +176,7 @@
     sources: &[net::SocketAddr],
 ) -> Option<net::SocketAddr> {
     let (source, sender) = connect_first(sources).await?;
-    host.join.contact.set(true);
+    host.join.has_reached_peer.set(true);
     let mut first = std::pin::pin!(follow_redirects(host, source, sender));
     let first_result = tokio::time::timeout(HEDGE_DELAY, first.as_mut()).await;
     if let Ok(result) = first_result {
@@ -266,7 +266,7 @@
     mut sender: ClientSender,
     hops: u8,
 ) -> Option<JoinAnswer> {
-    let join_request = JoinQuestion {
+    let join_request = JoinRequest {
         record: host.record(),
         link_mbps: host.settings().link_mbps,
         hops,
--- a/src/entry/join_role.rs
+++ b/src/entry/join_role.rs
@@ -33,7 +33,7 @@
 
 /// A join request of a starting host.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct JoinQuestion {
+pub struct JoinRequest {
     /// The host that sends the request.
     pub record: HostRecord,
     /// The bandwidth of its link, in Mbit/s.
@@ -48,7 +48,7 @@
     /// Send a snapshot.
     Serve,
     /// Redirect to another host that has the state, or receives it in a moment.
-    Ask(std::net::SocketAddr),
+    Redirect(std::net::SocketAddr),
 }
 
 /// A host that was served, and can serve others.
@@ -107,11 +107,11 @@
     /// `link_mbps`.
     ///
     /// ```
-    /// use ledgespool::entry::join_role::{JoinDecision, JoinQuestion, JoinRole};
+    /// use ledgespool::entry::join_role::{JoinDecision, JoinRequest, JoinRole};
     /// # use ledgespool::entry::peers::HostRecord;
     /// # use ledgespool::timer::Moment;
     /// # let address: std::net::SocketAddr = "127.0.0.1:9".parse()?;
-    /// # let request = |name: &str| JoinQuestion {
+    /// # let request = |name: &str| JoinRequest {
     /// #     record: HostRecord {
     /// #         name: name.to_owned(), run: 1, hall: "east".to_owned(), region: "one".to_owned(),
     /// #         caller_address: address, peer_address: address, heartbeat_address: address,
@@ -125,12 +125,12 @@
     /// assert_eq!(role.decide(&request("a"), bytes, link_mbps, Moment(0)), JoinDecision::Serve);
     /// // The link is full for now, and "a" has what "b" needs.
     /// let next = role.decide(&request("b"), bytes, link_mbps, Moment(1));
-    /// assert_eq!(next, JoinDecision::Ask(address));
+    /// assert_eq!(next, JoinDecision::Redirect(address));
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn decide(
         &mut self,
-        request: &JoinQuestion,
+        request: &JoinRequest,
         bytes: usize,
         link_mbps: u32,
         now: Moment,
@@ -138,7 +138,7 @@
         self.sources
             .retain(|source| now.since(source.served_at) < SOURCE_VALID_MS);
         if let Some(address) = self.select_source(request, bytes, link_mbps, now) {
-            return JoinDecision::Ask(address);
+            return JoinDecision::Redirect(address);
         }
         self.own.add(now);
         self.on_served(request, now);
@@ -151,7 +151,7 @@
     /// and the cost of traffic are highest.
     fn select_source(
         &mut self,
-        request: &JoinQuestion,
+        request: &JoinRequest,
         bytes: usize,
         link_mbps: u32,
         now: Moment,
@@ -180,7 +180,7 @@
         Some(best.address)
     }
 
-    fn on_served(&mut self, request: &JoinQuestion, now: Moment) {
+    fn on_served(&mut self, request: &JoinRequest, now: Moment) {
         let record = &request.record;
         self.sources.retain(|source| source.name != record.name);
         self.sources.push(JoinSource {
@@ -203,11 +203,11 @@
 
 /// Join requests that arrived before this host was ready.
 #[derive(Debug)]
-pub struct ParkedQuestions<T> {
-    pending: Vec<(JoinQuestion, T)>,
+pub struct PendingJoinRequests<T> {
+    pending: Vec<(JoinRequest, T)>,
 }
 
-impl<T> Default for ParkedQuestions<T> {
+impl<T> Default for PendingJoinRequests<T> {
     fn default() -> Self {
         Self {
             pending: Vec::new(),
@@ -215,12 +215,12 @@
     }
 }
 
-impl<T> ParkedQuestions<T> {
+impl<T> PendingJoinRequests<T> {
     /// Holds a request.
     ///
     /// # Errors
     /// Returns the requester when too many requests are held; it must be answered at once.
-    pub fn park(&mut self, request: JoinQuestion, requester: T) -> Result<(), T> {
+    pub fn hold(&mut self, request: JoinRequest, requester: T) -> Result<(), T> {
         if self.pending.len() >= MAX_PENDING {
             return Err(requester);
         }
@@ -229,7 +229,7 @@
     }
 
     /// Takes all held requests, those with the fastest links first.
-    pub fn take(&mut self) -> Vec<(JoinQuestion, T)> {
+    pub fn take(&mut self) -> Vec<(JoinRequest, T)> {
         let mut pending = std::mem::take(&mut self.pending);
         pending.sort_by_key(|(request, _)| std::cmp::Reverse(request.link_mbps));
         pending
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -11,7 +11,7 @@
 use super::store::ObjectStore;
 use super::wire::WireProtocol;
 use super::{
-    follow, gossip, host_entries, join_asking, limit_role, listen, quarantine_role, rollout_role,
+    follow, gossip, host_entries, join_client, limit_role, listen, quarantine_role, rollout_role,
 };
 use crate::error;
 use crate::event::EventCode;
@@ -47,7 +47,7 @@
     host.note(EventCode::ProcessStarted, fields);
     listeners.serve(&host);
     gossip::spawn(&host)?;
-    join_asking::spawn(&host, &store);
+    join_client::spawn(&host, &store);
     limit_role::spawn(&host);
     follow::spawn(&host, &store);
     host_entries::spawn(&host, &store);
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -226,7 +226,7 @@
             None => plain(http::StatusCode::SERVICE_UNAVAILABLE),
         },
         catch_up::SUSPECTS_PATH => peer_response(host, write(&host.quarantine.records(host.now()))),
-        catch_up::SNAPSHOT_PATH => peer_response(host, host.written_snapshot()),
+        catch_up::SNAPSHOT_PATH => peer_response(host, host.encoded_snapshot()),
         catch_up::CONFIGURATION_PATH => match host.routes() {
             Some(routes) => peer_response(host, routes.written()),
             None => peer_response(host, write(&None::<ServiceConfiguration>)),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -47,7 +47,7 @@
 pub mod host_fleet;
 mod host_gossip;
 mod join;
-mod join_asking;
+mod join_client;
 pub mod join_role;
 pub mod leaving_news;
 pub mod lifecycle;
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -35,7 +35,7 @@
     request: http::Request<Incoming>,
 ) -> CallerResponse<W> {
     let mut guard = RequestGuard::begin(&host, request.headers());
-    host.wait_for_knowledge().await;
+    host.wait_until_ready().await;
     let response = match OpenRequest::read(&host, request, guard.arrived).await {
         Ok(open) => {
             guard.route = Some(rc::Rc::clone(&open.route));
--- a/src/entry/watch_role.rs
+++ b/src/entry/watch_role.rs
@@ -124,7 +124,7 @@
             // list.
             return is_seed || self.watch.is_watching() || self.now().0 >= self.list_delay_ms();
         }
-        if self.join.has_contact() && self.now().0 < SEEDS_ONLY_MS {
+        if self.join.has_reached_peer() && self.now().0 < SEEDS_ONLY_MS {
             return is_seed;
         }
         let peers = self.peers.borrow();
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use ledgespool::entry::join_role::{
-    JoinDecision, JoinQuestion, JoinRole, MAX_HOPS, ParkedQuestions,
+    JoinDecision, JoinRequest, JoinRole, MAX_HOPS, PendingJoinRequests,
 };
 use ledgespool::entry::peers::HostRecord;
 use ledgespool::timer::Moment;
@@ -33,9 +33,9 @@
 }
 
 struct SimHost {
-    question: JoinQuestion,
+    question: JoinRequest,
     role: JoinRole,
-    parked: ParkedQuestions<usize>,
+    parked: PendingJoinRequests<usize>,
     /// When the host has received the snapshot.
     complete: Option<u64>,
     /// Until when its link is busy with transfers.
@@ -72,7 +72,7 @@
         SLOW_MBPS
     };
     SimHost {
-        question: JoinQuestion {
+        question: JoinRequest {
             record: HostRecord {
                 name: format!("host-{number}"),
                 run: 1,
@@ -88,7 +88,7 @@
             hops: 0,
         },
         role: JoinRole::default(),
-        parked: ParkedQuestions::default(),
+        parked: PendingJoinRequests::default(),
         complete: None,
         busy_until: 0,
         served: 0,
@@ -141,12 +141,12 @@
     }
 
     fn on_question(&mut self, asked: usize, joiner: usize, hops: u8, now: u64) {
-        let question = JoinQuestion {
+        let question = JoinRequest {
             hops,
             ..self.hosts[joiner].question.clone()
         };
         if self.hosts[asked].complete.is_none() {
-            let parked = self.hosts[asked].parked.park(question, joiner);
+            let parked = self.hosts[asked].parked.hold(question, joiner);
             assert!(parked.is_ok(), "there is room for all that ask");
             return;
         }
@@ -160,7 +160,7 @@
         }
     }
 
-    fn decide(&mut self, asked: usize, question: &JoinQuestion, joiner: usize, now: u64) {
+    fn decide(&mut self, asked: usize, question: &JoinRequest, joiner: usize, now: u64) {
         let host = &mut self.hosts[asked];
         let link_mbps = host.question.link_mbps;
         let decision = match self.spread {
@@ -169,7 +169,7 @@
         };
         match decision {
             JoinDecision::Serve => self.serve(asked, joiner, now),
-            JoinDecision::Ask(address) => {
+            JoinDecision::Redirect(address) => {
                 let question = SimEvent::Question {
                     asked: self.places[&address],
                     joiner,
@@ -257,7 +257,7 @@
     for number in 0..60 {
         role.decide(&sim_host(number).question, BYTES, SLOW_MBPS, Moment(0));
     }
-    let question = JoinQuestion {
+    let question = JoinRequest {
         hops: MAX_HOPS,
         ..sim_host(99).question
     };
@@ -273,7 +273,7 @@
     }
     for number in 3..9 {
         let decision = role.decide(&sim_host(number).question, BYTES, SLOW_MBPS, Moment(60_000));
-        let JoinDecision::Ask(address) = decision else {
+        let JoinDecision::Redirect(address) = decision else {
             continue;
         };
         assert!(address.port() > 3, "a host of a minute ago: {address}");
