--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -22,7 +22,7 @@
 
 /// Timeout of a call that does not wait for changes. Ordinary answers take 4 ms, those of a slow
 /// store some hundred.
-pub(super) const CALL_LIMIT: time::Duration = time::Duration::from_millis(1_500);
+pub(super) const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 /// How long a watch waits for a change, in milliseconds. A watch that hangs is detected when this
 /// time is over, so it bounds the age of the view. Each new watch is another call.
 const WATCH_WAIT_MS: u64 = 5_000;
@@ -42,9 +42,9 @@
 /// How much later than its wait a watch may be answered.
 const WATCH_MARGIN: time::Duration = time::Duration::from_secs(1);
 /// The pause after the first failure, in milliseconds; each further failure doubles it.
-pub(super) const FIRST_PAUSE_MS: u64 = 100;
+pub(super) const MIN_BACKOFF_MS: u64 = 100;
 /// The longest pause after a failure, in milliseconds.
-pub(super) const MAX_PAUSE_MS: u64 = 800;
+pub(super) const MAX_BACKOFF_MS: u64 = 800;
 /// Delay of the next watch after a change, in which further changes accumulate: servers and hosts
 /// that start together change one after the other.
 const BATCH_PAUSE: time::Duration = time::Duration::from_millis(250);
@@ -118,7 +118,7 @@
         loop {
             let began = self.host.now();
             let call = self.store.list(self.kind, after.as_deref());
-            let page = tokio::time::timeout(CALL_LIMIT, call)
+            let page = tokio::time::timeout(CALL_TIMEOUT, call)
                 .await
                 .unwrap_or(Err(StoreFault::Unreachable));
             self.record_call("list", began, page.as_ref().map(|page| page.revision));
@@ -245,10 +245,10 @@
     }
 
     async fn back_off(&mut self) {
-        let doubled = FIRST_PAUSE_MS << self.failures.min(8);
+        let doubled = MIN_BACKOFF_MS << self.failures.min(8);
         self.failures += 1;
-        let longest = doubled.min(MAX_PAUSE_MS);
-        pause_up_to(&self.host, longest).await;
+        let longest = doubled.min(MAX_BACKOFF_MS);
+        sleep_with_jitter(&self.host, longest).await;
     }
 }
 
@@ -265,7 +265,7 @@
 }
 
 /// Sleeps for a random time between half of `longest_ms` and all of it.
-pub(super) async fn pause_up_to<W: WireProtocol>(host: &EntryHost<W>, longest_ms: u64) {
+pub(super) async fn sleep_with_jitter<W: WireProtocol>(host: &EntryHost<W>, longest_ms: u64) {
     let millis = host
         .random
         .borrow_mut()
@@ -273,8 +273,8 @@
     tokio::time::sleep(time::Duration::from_millis(millis)).await;
 }
 
-/// Runs a store call with the timeout [`CALL_LIMIT`].
-pub(super) async fn within_limit<T>(call: impl Future<Output = StoreResult<T>>) -> StoreResult<T> {
-    let answered = tokio::time::timeout(CALL_LIMIT, call).await;
+/// Runs a store call with the timeout [`CALL_TIMEOUT`].
+pub(super) async fn with_timeout<T>(call: impl Future<Output = StoreResult<T>>) -> StoreResult<T> {
+    let answered = tokio::time::timeout(CALL_TIMEOUT, call).await;
     answered.unwrap_or(Err(StoreFault::Unreachable))
 }
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -65,9 +65,9 @@
     host: &EntryHost<W>,
     store: &S,
 ) -> Option<()> {
-    let mut pause_ms = follow::FIRST_PAUSE_MS;
+    let mut pause_ms = follow::MIN_BACKOFF_MS;
     while !host.is_leaving() {
-        match follow::within_limit(write_own(&host.record(), store)).await {
+        match follow::with_timeout(write_own(&host.record(), store)).await {
             Ok(OwnEntry::Written(revision)) => {
                 host.own_entry.set(Some(revision));
                 return Some(());
@@ -78,8 +78,8 @@
                 host.note(EventCode::EntryNotWritten, fields);
             }
         }
-        follow::pause_up_to(host, pause_ms).await;
-        pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
+        follow::sleep_with_jitter(host, pause_ms).await;
+        pause_ms = (pause_ms * 2).min(follow::MAX_BACKOFF_MS);
     }
     None
 }
@@ -156,7 +156,7 @@
     let Some(revision) = host.own_entry.get() else {
         return;
     };
-    let removed = follow::within_limit(store.delete_host(&name, revision)).await;
+    let removed = follow::with_timeout(store.delete_host(&name, revision)).await;
     if let Err(fault) = removed {
         let fields = json!({ "peer": name, "fault": fault.to_string() });
         host.note(EventCode::EntryNotRemoved, fields);
@@ -193,7 +193,7 @@
     store: &S,
     entry: &GoneHost,
 ) {
-    match follow::within_limit(remove_run(entry, store)).await {
+    match follow::with_timeout(remove_run(entry, store)).await {
         // The entry was removed, or its host is alive again and has changed it.
         Ok(()) | Err(StoreFault::Absent | StoreFault::Conflict) => {
             let mut peers = host.peers.borrow_mut();
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -47,7 +47,7 @@
     if host.settings().first_start {
         host.quarantine.on_read();
     }
-    let mut pause_ms = follow::FIRST_PAUSE_MS;
+    let mut pause_ms = follow::MIN_BACKOFF_MS;
     while !host.quarantine.read.get() {
         // Those that read the list of servers themselves were told by no other host.
         if !host.is_watcher() {
@@ -58,8 +58,8 @@
             Ok(()) => host.quarantine.on_read(),
             Err(fault) => {
                 note_fault(&host, &fault);
-                follow::pause_up_to(&host, pause_ms).await;
-                pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
+                follow::sleep_with_jitter(&host, pause_ms).await;
+                pause_ms = (pause_ms * 2).min(follow::MAX_BACKOFF_MS);
             }
         }
     }
@@ -72,7 +72,7 @@
     let mut after: Option<String> = None;
     for _ in 0..MAX_PAGES {
         let page =
-            follow::within_limit(store.list(ObjectKind::Quarantine, after.as_deref())).await?;
+            follow::with_timeout(store.list(ObjectKind::Quarantine, after.as_deref())).await?;
         take_over(host, &page.objects);
         after = page.objects.last().map(|object| object.name.clone());
         if !page.more || after.is_none() {
@@ -147,11 +147,11 @@
     store: &S,
     task: &StoreTask,
 ) {
-    let mut pause_ms = follow::FIRST_PAUSE_MS;
-    while let Err(fault) = follow::within_limit(do_task(store, task)).await {
+    let mut pause_ms = follow::MIN_BACKOFF_MS;
+    while let Err(fault) = follow::with_timeout(do_task(store, task)).await {
         note_fault(host, &fault);
-        follow::pause_up_to(host, pause_ms).await;
-        pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
+        follow::sleep_with_jitter(host, pause_ms).await;
+        pause_ms = (pause_ms * 2).min(follow::MAX_BACKOFF_MS);
     }
 }
 
--- a/src/entry/rollout_role.rs
+++ b/src/entry/rollout_role.rs
@@ -259,7 +259,7 @@
 }
 
 async fn record_all<W: WireProtocol, S: ObjectStore>(host: rc::Rc<EntryHost<W>>, store: rc::Rc<S>) {
-    let mut pause_ms = follow::FIRST_PAUSE_MS;
+    let mut pause_ms = follow::MIN_BACKOFF_MS;
     loop {
         tokio::time::sleep(RECORD_CHECK).await;
         let now = host.now();
@@ -267,16 +267,16 @@
             continue;
         }
         for record in host.unrecorded_rollouts(now) {
-            match follow::within_limit(store.record_rollout(&record)).await {
+            match follow::with_timeout(store.record_rollout(&record)).await {
                 Ok(revision) => {
                     let mut table = host.rollouts.table.borrow_mut();
                     table.on_recorded(&record, revision, now);
-                    pause_ms = follow::FIRST_PAUSE_MS;
+                    pause_ms = follow::MIN_BACKOFF_MS;
                 }
                 Err(fault) => {
                     note_not_recorded(&host, &fault);
-                    follow::pause_up_to(&host, pause_ms).await;
-                    pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
+                    follow::sleep_with_jitter(&host, pause_ms).await;
+                    pause_ms = (pause_ms * 2).min(follow::MAX_BACKOFF_MS);
                 }
             }
         }
