--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -131,7 +131,7 @@
             RestWord::Unreadable => return self.on_unreadable_word(server, "rest"),
             RestWord::For(rest) => rest,
         };
-        self.metrics.borrow_mut().rests += 1;
+        self.metrics.borrow_mut().backoffs += 1;
         let now = self.now();
         let until = now.plus(rest.as_millis() as u64);
         if server.change_notice(|notice| notice.on_rest(until, now)) {
@@ -146,7 +146,7 @@
 
     /// A server says something of itself that cannot be understood: one line for each server.
     fn on_unreadable_word(&self, server: &FleetServer, word: &str) {
-        self.metrics.borrow_mut().words_unreadable += 1;
+        self.metrics.borrow_mut().unreadable_headers += 1;
         if server.change_notice(ServerNotice::on_unreadable) {
             let fields = json!({ "server": server.id, "hall": server.hall, "word": word });
             self.note(EventCode::ServerWordUnreadable, fields);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -253,14 +253,14 @@
             peers: self.peers.borrow().records().count(),
             limit_hosts: self.limits.hosts(),
             suspects: self.quarantine.digest().count,
-            barred_requests: self.quarantine.barred_count(),
+            blocked_requests: self.quarantine.barred_count(),
             store_epoch: self.store_epoch.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
-            resting_servers: self.count_servers(|server| server.notice().is_resting(now)),
+            servers_in_backoff: self.count_servers(|server| server.notice().is_resting(now)),
             idle_connections: self.pool.borrow().idle_count(),
             open_requests: self.open_requests(),
-            log_left_out: loss.left_out,
+            log_suppressed: loss.left_out,
             log_dropped: loss.dropped,
         };
         self.metrics.borrow().page(&current)
--- a/src/entry/host_budget.rs
+++ b/src/entry/host_budget.rs
@@ -31,9 +31,9 @@
         let allowed = self.with_retries(service, |window| window.try_repeat(&share, now));
         let mut metrics = self.metrics.borrow_mut();
         if allowed {
-            metrics.repeats += 1;
+            metrics.retries += 1;
         } else {
-            metrics.repeats_denied += 1;
+            metrics.retries_denied += 1;
         }
         allowed
     }
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -70,7 +70,7 @@
     let request = peers.unknown_hosts(heartbeat, &own, host.now());
     drop(peers);
     if let Some(request) = request {
-        host.metrics.borrow_mut().unknown_hosts_told += request.unknown.len() as u64;
+        host.metrics.borrow_mut().unknown_hosts_reported += request.unknown.len() as u64;
         gossip::send(host, &PeerMessage::WhoIs(request), &[source]);
     }
 }
--- a/src/entry/metrics_page.rs
+++ b/src/entry/metrics_page.rs
@@ -19,7 +19,7 @@
 
 /// The outcome of a caller's request. A refused request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum RequestEnd {
+pub enum RequestCompletion {
     /// A server's whole answer was delivered.
     Answered,
     /// Refused: no server would answer in time.
@@ -48,7 +48,7 @@
     CallerLeft,
 }
 
-impl RequestEnd {
+impl RequestCompletion {
     /// The label in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -80,18 +80,18 @@
 /// All counters and histograms of a process.
 #[derive(Debug, Default)]
 pub struct EntryMetrics {
-    requests: collections::BTreeMap<(String, RequestEnd), u64>,
+    requests: collections::BTreeMap<(String, RequestCompletion), u64>,
     latency: collections::BTreeMap<String, Histogram>,
     store_calls: collections::BTreeMap<(&'static str, &'static str, &'static str), u64>,
     over_limit: collections::BTreeMap<String, u64>,
     /// Failed attempts by result: one of a few fixed labels, or the status of a refusal.
-    offers_failed: collections::BTreeMap<String, u64>,
+    attempts_failed: collections::BTreeMap<String, u64>,
     /// Requests that the limits of their customers let through.
     pub within_limit: u64,
     /// Requests sent to a second server.
-    pub repeats: u64,
+    pub retries: u64,
     /// Retries that the budget did not allow.
-    pub repeats_denied: u64,
+    pub retries_denied: u64,
     /// Connections opened to servers.
     pub connections: u64,
     /// Connections to servers that could not be opened.
@@ -99,21 +99,21 @@
     /// Requests that a server rejected without running them.
     pub shed: u64,
     /// Servers that crashed while processing requests of this host.
-    pub servers_ended: u64,
+    pub servers_crashed: u64,
     /// Answers with a header about the server's condition that could not be parsed.
-    pub words_unreadable: u64,
+    pub unreadable_headers: u64,
     /// Requests for which servers asked this host to back off.
-    pub rests: u64,
+    pub backoffs: u64,
     /// Requests sent to leaving servers, since no other server could serve them.
     pub sent_to_leaving: u64,
     /// Send tokens for servers with an advertised limit that were granted to this host.
-    pub send_rights: u64,
+    pub send_tokens: u64,
     /// Send tokens that were denied to this host.
-    pub send_rights_denied: u64,
+    pub send_tokens_denied: u64,
     /// Requests for send tokens that were not answered in time, or that had no coordinator to ask.
-    pub send_rights_unanswered: u64,
+    pub send_tokens_unanswered: u64,
     /// Hosts that others reported and that were unknown here.
-    pub unknown_hosts_told: u64,
+    pub unknown_hosts_reported: u64,
     /// Bytes sent to other hosts: datagrams, and answers to fetches.
     pub peer_bytes_sent: u64,
     /// Answers dropped because they belonged to another request or broke the protocol.
@@ -139,7 +139,7 @@
     /// Suspect requests that all hosts know, including recently cleared ones.
     pub suspects: u32,
     /// Requests that are blocked from all servers.
-    pub barred_requests: usize,
+    pub blocked_requests: usize,
     /// The epoch of the store as known to this host; 0 if the store reports none.
     pub store_epoch: u64,
     /// Servers that advertise a limit.
@@ -147,23 +147,23 @@
     /// Servers that have announced that they leave, themselves or through others.
     pub leaving_servers: usize,
     /// Servers that have asked this host to back off for now.
-    pub resting_servers: usize,
+    pub servers_in_backoff: usize,
     /// Idle connections to servers.
     pub idle_connections: usize,
     /// Requests in flight.
     pub open_requests: u32,
     /// Log lines that were suppressed.
-    pub log_left_out: u64,
+    pub log_suppressed: u64,
     /// Log lines that were dropped.
     pub log_dropped: u64,
 }
 
 impl EntryMetrics {
     /// Counts a completed request.
-    pub fn on_request(&mut self, route: &str, end: RequestEnd, millis: u64) {
-        let key = (route.to_owned(), end);
+    pub fn on_request(&mut self, route: &str, completion: RequestCompletion, millis: u64) {
+        let key = (route.to_owned(), completion);
         *self.requests.entry(key).or_default() += 1;
-        if end == RequestEnd::Answered {
+        if completion == RequestCompletion::Answered {
             self.latency
                 .entry(route.to_owned())
                 .or_default()
@@ -183,11 +183,11 @@
     }
 
     /// Counts an attempt at a server that failed with `result`.
-    pub fn on_offer_failed(&mut self, result: &str) {
-        if let Some(count) = self.offers_failed.get_mut(result) {
+    pub fn on_attempt_failed(&mut self, result: &str) {
+        if let Some(count) = self.attempts_failed.get_mut(result) {
             *count += 1;
         } else {
-            self.offers_failed.insert(result.to_owned(), 1);
+            self.attempts_failed.insert(result.to_owned(), 1);
         }
     }
 
@@ -201,11 +201,11 @@
     #[must_use]
     pub fn page(&self, current: &CurrentFigures) -> String {
         let mut page = String::with_capacity(4_096);
-        for ((route, end), count) in &self.requests {
-            let end = end.as_str();
+        for ((route, completion), count) in &self.requests {
+            let completion = completion.as_str();
             line(
                 &mut page,
-                &format!("ledgespool_requests_total{{route=\"{route}\",end=\"{end}\"}}"),
+                &format!("ledgespool_requests_total{{route=\"{route}\",end=\"{completion}\"}}"),
                 *count,
             );
         }
@@ -220,7 +220,7 @@
                 *count,
             );
         }
-        for (result, count) in &self.offers_failed {
+        for (result, count) in &self.attempts_failed {
             let labels = format!("result=\"{result}\"");
             line(
                 &mut page,
@@ -254,36 +254,42 @@
         [
             ("ledgespool_within_limit_total", self.within_limit),
             ("ledgespool_limit_hosts", u64::from(current.limit_hosts)),
-            ("ledgespool_repeats_total", self.repeats),
-            ("ledgespool_repeats_denied_total", self.repeats_denied),
+            ("ledgespool_repeats_total", self.retries),
+            ("ledgespool_repeats_denied_total", self.retries_denied),
             ("ledgespool_connections_total", self.connections),
             ("ledgespool_connect_failures_total", self.connect_failures),
             ("ledgespool_shed_total", self.shed),
             ("ledgespool_answers_dropped_total", self.answers_dropped),
-            ("ledgespool_server_ends_total", self.servers_ended),
+            ("ledgespool_server_ends_total", self.servers_crashed),
             ("ledgespool_suspects", u64::from(current.suspects)),
-            ("ledgespool_barred_requests", current.barred_requests as u64),
-            ("ledgespool_send_rights_total", self.send_rights),
+            (
+                "ledgespool_barred_requests",
+                current.blocked_requests as u64,
+            ),
+            ("ledgespool_send_rights_total", self.send_tokens),
             (
                 "ledgespool_send_rights_denied_total",
-                self.send_rights_denied,
+                self.send_tokens_denied,
             ),
             (
                 "ledgespool_send_rights_unanswered_total",
-                self.send_rights_unanswered,
+                self.send_tokens_unanswered,
             ),
             ("ledgespool_limited_servers", current.limited_servers as u64),
             ("ledgespool_leaving_servers", current.leaving_servers as u64),
-            ("ledgespool_resting_servers", current.resting_servers as u64),
-            ("ledgespool_server_rests_total", self.rests),
+            (
+                "ledgespool_resting_servers",
+                current.servers_in_backoff as u64,
+            ),
+            ("ledgespool_server_rests_total", self.backoffs),
             ("ledgespool_sent_to_leaving_total", self.sent_to_leaving),
             (
                 "ledgespool_server_words_unreadable_total",
-                self.words_unreadable,
+                self.unreadable_headers,
             ),
             (
                 "ledgespool_unknown_hosts_told_total",
-                self.unknown_hosts_told,
+                self.unknown_hosts_reported,
             ),
             ("ledgespool_peer_bytes_sent_total", self.peer_bytes_sent),
             (
@@ -299,7 +305,7 @@
                 current.idle_connections as u64,
             ),
             ("ledgespool_open_requests", u64::from(current.open_requests)),
-            ("ledgespool_log_left_out_total", current.log_left_out),
+            ("ledgespool_log_left_out_total", current.log_suppressed),
             ("ledgespool_log_dropped_total", current.log_dropped),
         ]
     }
--- a/src/entry/offers/ends.rs
+++ b/src/entry/offers/ends.rs
@@ -157,7 +157,7 @@
     pub(super) fn note_offer(&self, server: &FleetServer, result: &str) {
         let host = self.host;
         let open = self.open;
-        host.metrics.borrow_mut().on_offer_failed(result);
+        host.metrics.borrow_mut().on_attempt_failed(result);
         let now = host.now();
         let fields = json!({
             "id": open.forward.id,
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -224,7 +224,7 @@
 
     /// A server ended with these requests of this host in hand.
     fn on_server_ended(&self, server: &FleetServer, requests: &[RequestFingerprint]) {
-        self.metrics.borrow_mut().servers_ended += 1;
+        self.metrics.borrow_mut().servers_crashed += 1;
         let named = requests.iter().take(REQUESTS_PER_DATAGRAM);
         let named: Vec<String> = named.map(ToString::to_string).collect();
         let fields = json!({ "server": server.id, "count": requests.len(), "requests": named });
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -14,7 +14,7 @@
 use super::fingerprint::RequestFingerprint;
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
-use super::metrics_page::RequestEnd;
+use super::metrics_page::RequestCompletion;
 use super::offers::{self, AnsweredRequest};
 use super::open_request::OpenRequest;
 use super::pool::ServerSender;
@@ -137,7 +137,7 @@
             let millis = self.host.now().since(self.arrived);
             let route = self.route_name();
             let mut metrics = self.host.metrics.borrow_mut();
-            metrics.on_request(route, RequestEnd::CallerLeft, millis);
+            metrics.on_request(route, RequestCompletion::CallerLeft, millis);
             let fields = json!({ "id": self.id, "route": route, "after_ms": millis });
             self.host
                 .log
@@ -219,7 +219,7 @@
     let millis = host.now().since(open.arrived);
     host.metrics
         .borrow_mut()
-        .on_request(&open.route.name, RequestEnd::Answered, millis);
+        .on_request(&open.route.name, RequestCompletion::Answered, millis);
     let fields = json!({
         "id": open.forward.id,
         "route": open.route.name,
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -3,7 +3,7 @@
 use super::choice::NoServer;
 use super::customer::KeyDigest;
 use super::limits::message::LimitTrace;
-use super::metrics_page::RequestEnd;
+use super::metrics_page::RequestCompletion;
 use super::quarantine;
 use crate::result_code::ResultCode;
 
@@ -19,7 +19,7 @@
     /// The status for the caller.
     pub(super) status: http::StatusCode,
     /// How it counts.
-    pub(super) end: RequestEnd,
+    pub(super) end: RequestCompletion,
     /// When the caller should come back, if it should.
     pub(super) come_back_ms: Option<u64>,
     /// Why, for the log.
@@ -36,44 +36,51 @@
     /// The numbered code that callers and logs get.
     pub(super) const fn code(&self) -> ResultCode {
         match (self.end, self.status) {
-            (RequestEnd::RefusedFull, _) => ResultCode::BudgetExhausted,
-            (RequestEnd::RefusedNoServer | RequestEnd::RefusedUnlisted, _) => {
+            (RequestCompletion::RefusedFull, _) => ResultCode::BudgetExhausted,
+            (RequestCompletion::RefusedNoServer | RequestCompletion::RefusedUnlisted, _) => {
                 ResultCode::NoHealthyServer
             }
-            (RequestEnd::RefusedUnconfigured, _) => ResultCode::ConfigurationMissing,
-            (RequestEnd::RefusedLeaving, _) => ResultCode::HostLeaving,
-            (RequestEnd::RefusedLimit, _) => ResultCode::LimitReached,
-            (RequestEnd::RefusedHomes, _) => ResultCode::HomesApart,
-            (RequestEnd::RefusedQuarantined, _) => ResultCode::RequestQuarantined,
-            (RequestEnd::Rejected, http::StatusCode::UNAUTHORIZED) => ResultCode::KeyRefused,
-            (RequestEnd::Rejected, http::StatusCode::NOT_FOUND) => ResultCode::ServiceUnknown,
-            (RequestEnd::Rejected, http::StatusCode::PAYLOAD_TOO_LARGE) => ResultCode::BodyTooLarge,
-            (RequestEnd::Rejected, http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE) => {
-                ResultCode::HeadTooLarge
+            (RequestCompletion::RefusedUnconfigured, _) => ResultCode::ConfigurationMissing,
+            (RequestCompletion::RefusedLeaving, _) => ResultCode::HostLeaving,
+            (RequestCompletion::RefusedLimit, _) => ResultCode::LimitReached,
+            (RequestCompletion::RefusedHomes, _) => ResultCode::HomesApart,
+            (RequestCompletion::RefusedQuarantined, _) => ResultCode::RequestQuarantined,
+            (RequestCompletion::Rejected, http::StatusCode::UNAUTHORIZED) => ResultCode::KeyRefused,
+            (RequestCompletion::Rejected, http::StatusCode::NOT_FOUND) => {
+                ResultCode::ServiceUnknown
+            }
+            (RequestCompletion::Rejected, http::StatusCode::PAYLOAD_TOO_LARGE) => {
+                ResultCode::BodyTooLarge
             }
-            (RequestEnd::Rejected, _) => ResultCode::BodyBroken,
-            (RequestEnd::TimedOut, _) => ResultCode::DeadlinePassed,
-            (RequestEnd::Lost | RequestEnd::CallerLeft | RequestEnd::Answered, _) => {
-                ResultCode::AnswerLost
+            (RequestCompletion::Rejected, http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE) => {
+                ResultCode::HeadTooLarge
             }
+            (RequestCompletion::Rejected, _) => ResultCode::BodyBroken,
+            (RequestCompletion::TimedOut, _) => ResultCode::DeadlinePassed,
+            (
+                RequestCompletion::Lost
+                | RequestCompletion::CallerLeft
+                | RequestCompletion::Answered,
+                _,
+            ) => ResultCode::AnswerLost,
         }
     }
 
     /// There is no configuration to serve by.
     pub(super) const UNCONFIGURED: Self = Self::refused(
-        RequestEnd::RefusedUnconfigured,
+        RequestCompletion::RefusedUnconfigured,
         NO_CONFIGURATION_MS,
         "no configuration yet",
     );
     /// There is no list of servers yet.
     pub(super) const UNLISTED: Self = Self::refused(
-        RequestEnd::RefusedUnlisted,
+        RequestCompletion::RefusedUnlisted,
         NO_CONFIGURATION_MS,
         "no list of servers yet",
     );
     /// This host stops too soon.
     pub(super) const LEAVING: Self = Self::refused(
-        RequestEnd::RefusedLeaving,
+        RequestCompletion::RefusedLeaving,
         LEAVING_COME_BACK_MS,
         "this host stops before the request's time is over",
     );
@@ -87,12 +94,12 @@
     /// Its route and its customer have no region in common. Coming back does not help.
     pub(super) const HOMES_APART: Self = Self::with_status(
         http::StatusCode::SERVICE_UNAVAILABLE,
-        RequestEnd::RefusedHomes,
+        RequestCompletion::RefusedHomes,
         "no region may serve both its route and its customer",
     );
     /// Servers ended under it, and it is sent to no other.
     pub(super) const QUARANTINED: Self = Self::refused(
-        RequestEnd::RefusedQuarantined,
+        RequestCompletion::RefusedQuarantined,
         quarantine::COME_BACK_MS,
         "servers ended under it",
     );
@@ -104,12 +111,12 @@
     /// It was sent, and its time ran out.
     pub(super) const TIMED_OUT: Self = Self::with_status(
         http::StatusCode::GATEWAY_TIMEOUT,
-        RequestEnd::TimedOut,
+        RequestCompletion::TimedOut,
         "no answer in time",
     );
 
     /// It has not run and may come again.
-    const fn refused(end: RequestEnd, come_back_ms: u64, reason: &'static str) -> Self {
+    const fn refused(end: RequestCompletion, come_back_ms: u64, reason: &'static str) -> Self {
         Self {
             status: http::StatusCode::SERVICE_UNAVAILABLE,
             end,
@@ -121,7 +128,11 @@
         }
     }
 
-    const fn with_status(status: http::StatusCode, end: RequestEnd, reason: &'static str) -> Self {
+    const fn with_status(
+        status: http::StatusCode,
+        end: RequestCompletion,
+        reason: &'static str,
+    ) -> Self {
         Self {
             status,
             end,
@@ -143,18 +154,22 @@
 
     /// The request itself is at fault.
     pub(super) const fn rejected(status: http::StatusCode, reason: &'static str) -> Self {
-        Self::with_status(status, RequestEnd::Rejected, reason)
+        Self::with_status(status, RequestCompletion::Rejected, reason)
     }
 
     /// It was sent, and no answer that can be trusted came.
     pub(super) const fn lost(reason: &'static str) -> Self {
-        Self::with_status(http::StatusCode::BAD_GATEWAY, RequestEnd::Lost, reason)
+        Self::with_status(
+            http::StatusCode::BAD_GATEWAY,
+            RequestCompletion::Lost,
+            reason,
+        )
     }
 
     /// The servers that were asked have not run it.
     pub(super) const fn not_run(come_back_ms: u64) -> Self {
         Self::refused(
-            RequestEnd::RefusedFull,
+            RequestCompletion::RefusedFull,
             come_back_ms,
             "no server that was asked ran it",
         )
@@ -175,7 +190,7 @@
     /// No customer that could be read holds its key.
     pub(super) const fn key_undecided(key: KeyDigest) -> Self {
         let failure = Self::refused(
-            RequestEnd::RefusedUnconfigured,
+            RequestCompletion::RefusedUnconfigured,
             NO_CONFIGURATION_MS,
             "a key that may be of a customer who could not be read",
         );
@@ -191,7 +206,7 @@
             limit: Some(trace),
             status: http::StatusCode::TOO_MANY_REQUESTS,
             ..Self::refused(
-                RequestEnd::RefusedLimit,
+                RequestCompletion::RefusedLimit,
                 come_back_ms,
                 "the customer's limit is reached",
             )
@@ -202,17 +217,17 @@
     pub(super) const fn without_server(reason: NoServer, come_back_ms: u64) -> Self {
         match reason {
             NoServer::AllFull => Self::refused(
-                RequestEnd::RefusedFull,
+                RequestCompletion::RefusedFull,
                 come_back_ms,
                 "every server would answer too late",
             ),
             NoServer::AllLimited => Self::refused(
-                RequestEnd::RefusedFull,
+                RequestCompletion::RefusedFull,
                 come_back_ms,
                 "every server has as many requests as it takes",
             ),
             NoServer::NoneFit => Self::refused(
-                RequestEnd::RefusedNoServer,
+                RequestCompletion::RefusedNoServer,
                 come_back_ms,
                 "no server may serve it now",
             ),
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -107,15 +107,15 @@
         let mut metrics = self.metrics.borrow_mut();
         let wait_ms = match verdict {
             Some(TokenVerdict::Granted) => {
-                metrics.send_rights += 1;
+                metrics.send_tokens += 1;
                 return Some(SendToken::Until(until));
             }
             Some(TokenVerdict::Denied { available_in_ms }) => {
-                metrics.send_rights_denied += 1;
+                metrics.send_tokens_denied += 1;
                 u64::from(available_in_ms)
             }
             Some(TokenVerdict::NotHere) | None => {
-                metrics.send_rights_unanswered += 1;
+                metrics.send_tokens_unanswered += 1;
                 UNANSWERED_SKIP_MS
             }
         };
