--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -82,7 +82,7 @@
         loop {
             if !self.host.watch.is_watching() {
                 position = None;
-                self.host.watch.begins().await;
+                self.host.watch.wait_until_watching().await;
                 continue;
             }
             let known = position.or_else(|| self.known_position());
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -275,14 +275,14 @@
     pub(super) fn on_tick(&self) {
         let now = self.now();
         self.note_standstill(now);
-        self.look_at_watch_role();
+        self.update_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
         self.note_fleet(&changes, "timer");
         let fleet = self.fleet.borrow();
         let is_gone = |id: &str| !fleet.knows(id);
         self.pool.borrow_mut().on_tick(is_gone, now);
         self.drop_expired_snapshot();
-        self.look_for_all_hosts(now);
+        self.update_membership_complete(now);
         self.quarantine.on_tick(now);
         self.on_limit_tick();
         self.on_leaving_tick();
--- a/src/entry/host_entries.rs
+++ b/src/entry/host_entries.rs
@@ -49,7 +49,7 @@
     let mut was_selected = false;
     while !host.is_leaving() {
         tokio::time::sleep(ENTRY_CHECK_INTERVAL).await;
-        let is_selected = host.keeps_entry();
+        let is_selected = host.should_register();
         // Two checks in a row must agree: another host may only have missed a heartbeat.
         let is_due = is_selected && was_selected && host.own_entry.get().is_none();
         was_selected = is_selected;
@@ -85,20 +85,20 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    fn keeps_entry(&self) -> bool {
+    fn should_register(&self) -> bool {
         let now = self.now();
         now.0 >= REGION_DISCOVERY_MS && self.peers.borrow().keeps_entry(&self.record(), now)
     }
 
     /// Whether this host has probably discovered all others of its region: its membership is
     /// complete, or it has run for long enough.
-    pub(super) fn has_met_region(&self) -> bool {
+    pub(super) fn has_discovered_region(&self) -> bool {
         self.now().0 >= REGION_DISCOVERY_MS || self.peers.borrow().is_listed()
     }
 
     /// Marks the membership as complete once there was time to learn of all hosts and a host of
     /// each hall is known.
-    pub(super) fn look_for_all_hosts(&self, now: Moment) {
+    pub(super) fn update_membership_complete(&self, now: Moment) {
         if now.0 < DISCOVERY_MS || self.peers.borrow().is_listed() {
             return;
         }
@@ -148,7 +148,7 @@
 
 /// Removes this host's own entry when it leaves. If this fails, the others remove the entry after
 /// the host has been silent for a while.
-pub(super) async fn withdraw<W: WireProtocol, S: ObjectStore>(
+pub(super) async fn deregister<W: WireProtocol, S: ObjectStore>(
     host: rc::Rc<EntryHost<W>>,
     store: rc::Rc<S>,
 ) {
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -118,8 +118,8 @@
     host.on_leaving();
     host.stop_coordinating();
     gossip::announce(host);
-    let withdrawal = host_entries::withdraw(rc::Rc::clone(host), rc::Rc::clone(store));
-    tokio::task::spawn_local(withdrawal);
+    let deregistration = host_entries::deregister(rc::Rc::clone(host), rc::Rc::clone(store));
+    tokio::task::spawn_local(deregistration);
 }
 
 fn reload_settings<W: WireProtocol>(host: &EntryHost<W>, file: &path::Path) {
--- a/src/entry/open_request.rs
+++ b/src/entry/open_request.rs
@@ -63,7 +63,7 @@
         let limit = routes.configuration().limits.body_bytes;
         let body = read_body(body, usize::try_from(limit).unwrap_or(usize::MAX)).await?;
         let deadline = arrived.plus(longest_time(&caller, &route).as_millis() as u64);
-        if host.ends_before(deadline) {
+        if host.may_stop_before(deadline) {
             return Err(RequestFailure::LEAVING);
         }
         let mut headers = connection_headers::end_to_end(&head.headers);
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -191,7 +191,7 @@
     /// Grants a token as the limit owner. A host that has not yet seen the other hosts of its
     /// region grants none: it might take itself for the owner of every server's limit.
     fn grant_send_token(&self, server: &FleetServer) -> TokenVerdict {
-        if !self.has_met_region() {
+        if !self.has_discovered_region() {
             return TokenVerdict::NotHere;
         }
         let mut table = self.server_limits.table.borrow_mut();
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -63,7 +63,7 @@
 
     /// Whether this host may stop before a request with this deadline completes.
     #[must_use]
-    pub fn ends_before(&self, deadline: Moment) -> bool {
+    pub fn may_stop_before(&self, deadline: Moment) -> bool {
         let Some(since) = self.stop.leaving_since.get() else {
             return false;
         };
--- a/src/entry/watch_role.rs
+++ b/src/entry/watch_role.rs
@@ -59,7 +59,7 @@
     }
 
     /// Waits until this host begins to watch the store.
-    pub(super) async fn begins(&self) {
+    pub(super) async fn wait_until_watching(&self) {
         self.began.notified().await;
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Starts or stops watching the store, as this host's role requires now.
-    pub(super) fn look_at_watch_role(&self) {
+    pub(super) fn update_watch_role(&self) {
         let is_due = self.is_watcher();
         if self.watch.set_watching(is_due) {
             let fields = json!({ "watching": is_due });
