--- a/src/entry/expiry_retention.rs
+++ b/src/entry/expiry_retention.rs
@@ -180,8 +180,8 @@
     /// ```
     #[must_use]
     pub fn from_gone(gone: &[GoneServer], now: Moment) -> Self {
-        let kept = gone.iter().filter(|server| server.hold_ms > 0);
-        let retentions = kept.map(|server| (server.id.clone(), now.plus(server.hold_ms)));
+        let retained = gone.iter().filter(|server| server.hold_ms > 0);
+        let retentions = retained.map(|server| (server.id.clone(), now.plus(server.hold_ms)));
         Self {
             retentions: retentions.collect(),
         }
@@ -196,7 +196,7 @@
     }
 
     /// The latest end of all retentions.
-    pub(super) fn longest(&self) -> Option<Moment> {
+    pub(super) fn latest_end(&self) -> Option<Moment> {
         self.retentions.values().max().copied()
     }
 }
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -218,7 +218,7 @@
         match source {
             MissingSource::Store => self.hold_if_many(vanished, now),
             MissingSource::Peer(told) => {
-                if let Some(until) = told.longest() {
+                if let Some(until) = told.latest_end() {
                     self.lapses.on_reported(until);
                 }
             }
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -15,27 +15,27 @@
 use rand::{Rng as _, SeedableRng as _};
 
 /// Size of a snapshot in bytes: some thousand servers and some routes.
-const BYTES: usize = 100_000;
+const SNAPSHOT_BYTES: usize = 100_000;
 /// When the seed is ready, in milliseconds.
 const SEED_READY_MS: u64 = 200;
 /// One-way latency within a region, in milliseconds.
-const WAY_MS: u64 = 1;
+const LATENCY_MS: u64 = 1;
 const FAST_MBPS: u32 = 200;
 const SLOW_MBPS: u32 = 20;
 
 /// Which hosts send snapshots in the simulation.
 #[derive(Clone, Copy, PartialEq)]
-enum Spread {
+enum JoinStrategy {
     /// As [`JoinRole`] decides.
-    Named,
+    Redirects,
     /// The seed serves all.
-    SeedAlone,
+    SeedOnly,
 }
 
 struct SimHost {
-    question: JoinRequest,
+    request: JoinRequest,
     role: JoinRole,
-    parked: PendingJoinRequests<usize>,
+    pending: PendingJoinRequests<usize>,
     /// When the host has received the snapshot.
     complete: Option<u64>,
     /// Until when its link is busy with transfers.
@@ -46,7 +46,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
     /// `joiner`'s join request reaches `asked`.
-    Question {
+    Request {
         asked: usize,
         joiner: usize,
         hops: u8,
@@ -57,9 +57,9 @@
 
 struct Simulation {
     hosts: Vec<SimHost>,
-    places: HashMap<SocketAddr, usize>,
+    index_by_address: HashMap<SocketAddr, usize>,
     events: BinaryHeap<Reverse<(u64, SimEvent)>>,
-    spread: Spread,
+    strategy: JoinStrategy,
 }
 
 fn sim_host(number: usize) -> SimHost {
@@ -72,7 +72,7 @@
         SLOW_MBPS
     };
     SimHost {
-        question: JoinRequest {
+        request: JoinRequest {
             record: HostRecord {
                 name: format!("host-{number}"),
                 run: 1,
@@ -88,7 +88,7 @@
             hops: 0,
         },
         role: JoinRole::default(),
-        parked: PendingJoinRequests::default(),
+        pending: PendingJoinRequests::default(),
         complete: None,
         busy_until: 0,
         served: 0,
@@ -96,27 +96,27 @@
 }
 
 impl Simulation {
-    fn of(count: usize, spread: Spread, seed: u64) -> Self {
+    fn of(count: usize, strategy: JoinStrategy, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let hosts: Vec<SimHost> = (0..count).map(sim_host).collect();
-        let address = |host: &SimHost| host.question.record.peer_address;
-        let places = hosts.iter().map(address).zip(0..).collect();
+        let address = |host: &SimHost| host.request.record.peer_address;
+        let index_by_address = hosts.iter().map(address).zip(0..).collect();
         let mut events = BinaryHeap::new();
         events.push(Reverse((SEED_READY_MS, SimEvent::Complete(0))));
         for joiner in 1..count {
             let start = random.random_range(0..300);
-            let question = SimEvent::Question {
+            let request = SimEvent::Request {
                 asked: 0,
                 joiner,
                 hops: 0,
             };
-            events.push(Reverse((start + WAY_MS, question)));
+            events.push(Reverse((start + LATENCY_MS, request)));
         }
         Self {
             hosts,
-            places,
+            index_by_address,
             events,
-            spread,
+            strategy,
         }
     }
 
@@ -124,94 +124,99 @@
     fn run(mut self) -> Vec<u64> {
         while let Some(Reverse((now, event))) = self.events.pop() {
             match event {
-                SimEvent::Question {
+                SimEvent::Request {
                     asked,
                     joiner,
                     hops,
                 } => {
-                    self.on_question(asked, joiner, hops, now);
+                    self.on_request(asked, joiner, hops, now);
                 }
                 SimEvent::Complete(host) => self.on_complete(host, now),
             }
         }
         let complete = self.hosts.iter().map(|host| host.complete);
-        let mut complete: Vec<u64> = complete.map(|at| at.expect("all are served")).collect();
+        let mut complete: Vec<u64> = complete
+            .map(|at| at.expect("all hosts are complete"))
+            .collect();
         complete.sort_unstable();
         complete
     }
 
-    fn on_question(&mut self, asked: usize, joiner: usize, hops: u8, now: u64) {
-        let question = JoinRequest {
+    fn on_request(&mut self, asked: usize, joiner: usize, hops: u8, now: u64) {
+        let request = JoinRequest {
             hops,
-            ..self.hosts[joiner].question.clone()
+            ..self.hosts[joiner].request.clone()
         };
         if self.hosts[asked].complete.is_none() {
-            let parked = self.hosts[asked].parked.hold(question, joiner);
-            assert!(parked.is_ok(), "there is room for all that ask");
+            let pending = self.hosts[asked].pending.hold(request, joiner);
+            assert!(pending.is_ok(), "all requests fit");
             return;
         }
-        self.decide(asked, &question, joiner, now);
+        self.decide(asked, &request, joiner, now);
     }
 
     fn on_complete(&mut self, host: usize, now: u64) {
         self.hosts[host].complete = Some(now);
-        for (question, joiner) in self.hosts[host].parked.take() {
-            self.decide(host, &question, joiner, now);
+        for (request, joiner) in self.hosts[host].pending.take() {
+            self.decide(host, &request, joiner, now);
         }
     }
 
-    fn decide(&mut self, asked: usize, question: &JoinRequest, joiner: usize, now: u64) {
+    fn decide(&mut self, asked: usize, request: &JoinRequest, joiner: usize, now: u64) {
         let host = &mut self.hosts[asked];
-        let link_mbps = host.question.link_mbps;
-        let decision = match self.spread {
-            Spread::SeedAlone => JoinDecision::Serve,
-            Spread::Named => host.role.decide(question, BYTES, link_mbps, Moment(now)),
+        let link_mbps = host.request.link_mbps;
+        let decision = match self.strategy {
+            JoinStrategy::SeedOnly => JoinDecision::Serve,
+            JoinStrategy::Redirects => {
+                host.role
+                    .decide(request, SNAPSHOT_BYTES, link_mbps, Moment(now))
+            }
         };
         match decision {
             JoinDecision::Serve => self.serve(asked, joiner, now),
             JoinDecision::Redirect(address) => {
-                let question = SimEvent::Question {
-                    asked: self.places[&address],
+                let request = SimEvent::Request {
+                    asked: self.index_by_address[&address],
                     joiner,
-                    hops: question.hops + 1,
+                    hops: request.hops + 1,
                 };
                 // The answer, and a connection to the other host.
-                self.events.push(Reverse((now + 4 * WAY_MS, question)));
+                self.events.push(Reverse((now + 4 * LATENCY_MS, request)));
             }
         }
     }
 
     fn serve(&mut self, asked: usize, joiner: usize, now: u64) {
-        let sends = transfer_ms(self.hosts[asked].question.link_mbps);
-        let receives = transfer_ms(self.hosts[joiner].question.link_mbps);
+        let sends = transfer_ms(self.hosts[asked].request.link_mbps);
+        let receives = transfer_ms(self.hosts[joiner].request.link_mbps);
         let host = &mut self.hosts[asked];
         let sent = host.busy_until.max(now) + sends;
         host.busy_until = sent;
         host.served += 1;
-        let complete = sent.max(now + receives) + WAY_MS;
+        let complete = sent.max(now + receives) + LATENCY_MS;
         self.events
             .push(Reverse((complete, SimEvent::Complete(joiner))));
     }
 }
 
 fn transfer_ms(link_mbps: u32) -> u64 {
-    BYTES as u64 * 8 / (u64::from(link_mbps) * 1_000)
+    SNAPSHOT_BYTES as u64 * 8 / (u64::from(link_mbps) * 1_000)
 }
 
 /// How long 50% and 90% of the hosts wait after the seed is ready.
-fn waits(count: usize, spread: Spread, seed: u64) -> (u64, u64) {
-    let complete = Simulation::of(count, spread, seed).run();
+fn waits(count: usize, strategy: JoinStrategy, seed: u64) -> (u64, u64) {
+    let complete = Simulation::of(count, strategy, seed).run();
     let after = |share: f64| complete[(count as f64 * share) as usize] - SEED_READY_MS;
     (after(0.5), after(0.9))
 }
 
 #[test]
-fn the_time_to_serve_grows_no_faster_than_the_logarithm_of_the_hosts() {
+fn startup_time_grows_at_most_logarithmically_with_the_hosts() {
     for seed in 1..=8 {
-        let small = waits(30, Spread::Named, seed).1;
-        let middle = waits(120, Spread::Named, seed).1;
-        let large = waits(480, Spread::Named, seed).1;
-        println!("seed {seed}: nine in ten after {small}, {middle}, {large} ms");
+        let small = waits(30, JoinStrategy::Redirects, seed).1;
+        let middle = waits(120, JoinStrategy::Redirects, seed).1;
+        let large = waits(480, JoinStrategy::Redirects, seed).1;
+        println!("seed {seed}: p90 {small}, {middle}, {large} ms");
         assert!(
             large.saturating_sub(middle) <= middle.saturating_sub(small).max(150),
             "seed {seed}"
@@ -221,30 +226,33 @@
 }
 
 #[test]
-fn a_region_of_98_hosts_serves_soon_after_its_seed() {
+fn region_of_98_hosts_serves_soon_after_its_seed() {
     for seed in 1..=8 {
-        let (half, most) = waits(98, Spread::Named, seed);
-        println!("seed {seed}: half after {half}, nine in ten after {most} ms");
-        assert!(half <= 150 && most <= 300, "seed {seed}: {half} and {most}");
+        let (p50, p90) = waits(98, JoinStrategy::Redirects, seed);
+        println!("seed {seed}: p50 {p50}, p90 {p90} ms");
+        assert!(p50 <= 150 && p90 <= 300, "seed {seed}: {p50} and {p90}");
     }
 }
 
 /// Shows why redirects are needed: with the seed's link alone the time grows with the number of
 /// hosts.
 #[test]
-fn a_seed_alone_would_take_far_longer() {
-    let (_, named) = waits(480, Spread::Named, 1);
-    let (_, alone) = waits(480, Spread::SeedAlone, 1);
-    assert!(alone > 5 * named, "{alone} against {named}");
+fn seed_without_redirects_takes_far_longer() {
+    let (_, with_redirects) = waits(480, JoinStrategy::Redirects, 1);
+    let (_, seed_only) = waits(480, JoinStrategy::SeedOnly, 1);
+    assert!(
+        seed_only > 5 * with_redirects,
+        "{seed_only} against {with_redirects}"
+    );
 }
 
 #[test]
-fn what_is_more_than_all_links_bear_in_a_wave_is_shared_among_them() {
+fn overload_of_all_links_is_shared_among_them() {
     let mut role = JoinRole::default();
     let mut served = 0;
     for number in 0..400 {
-        let question = sim_host(number).question;
-        let decision = role.decide(&question, BYTES, FAST_MBPS, Moment(5));
+        let request = sim_host(number).request;
+        let decision = role.decide(&request, SNAPSHOT_BYTES, FAST_MBPS, Moment(5));
         served += usize::from(decision == JoinDecision::Serve);
     }
     // The links of 3 hosts as fast as its own and of 22 slow ones serve the others.
@@ -252,30 +260,45 @@
 }
 
 #[test]
-fn a_host_that_was_sent_from_one_to_the_next_is_served_in_the_end() {
+fn request_is_served_after_the_maximum_of_redirects() {
     let mut role = JoinRole::default();
     for number in 0..60 {
-        role.decide(&sim_host(number).question, BYTES, SLOW_MBPS, Moment(0));
+        role.decide(
+            &sim_host(number).request,
+            SNAPSHOT_BYTES,
+            SLOW_MBPS,
+            Moment(0),
+        );
     }
-    let question = JoinRequest {
+    let request = JoinRequest {
         hops: MAX_HOPS,
-        ..sim_host(99).question
+        ..sim_host(99).request
     };
-    let decision = role.decide(&question, BYTES, SLOW_MBPS, Moment(0));
+    let decision = role.decide(&request, SNAPSHOT_BYTES, SLOW_MBPS, Moment(0));
     assert_eq!(decision, JoinDecision::Serve);
 }
 
 #[test]
-fn a_host_that_was_served_long_ago_is_not_named() {
+fn host_served_long_ago_is_no_redirect_target() {
     let mut role = JoinRole::default();
     for number in 0..3 {
-        role.decide(&sim_host(number).question, BYTES, SLOW_MBPS, Moment(0));
+        role.decide(
+            &sim_host(number).request,
+            SNAPSHOT_BYTES,
+            SLOW_MBPS,
+            Moment(0),
+        );
     }
     for number in 3..9 {
-        let decision = role.decide(&sim_host(number).question, BYTES, SLOW_MBPS, Moment(60_000));
+        let decision = role.decide(
+            &sim_host(number).request,
+            SNAPSHOT_BYTES,
+            SLOW_MBPS,
+            Moment(60_000),
+        );
         let JoinDecision::Redirect(address) = decision else {
             continue;
         };
-        assert!(address.port() > 3, "a host of a minute ago: {address}");
+        assert!(address.port() > 3, "served a minute ago: {address}");
     }
 }
