--- a/src/entry/join_client.rs
+++ b/src/entry/join_client.rs
@@ -230,7 +230,7 @@
     let mut source = first;
     let mut sender = sender;
     for hops in 0..=MAX_HOPS {
-        match send_request(host, source, sender, hops)
+        match send_join_request(host, source, sender, hops)
             .await
             .ok_or(source)?
         {
@@ -260,7 +260,7 @@
     }
 }
 
-async fn send_request<W: WireProtocol>(
+async fn send_join_request<W: WireProtocol>(
     host: &EntryHost<W>,
     source: net::SocketAddr,
     mut sender: ClientSender,
