--- a/src/entry/answer_claims.rs
+++ b/src/entry/answer_claims.rs
@@ -133,7 +133,7 @@
             BackoffHeader::Unreadable => return self.on_unreadable_header(server, "rest"),
             BackoffHeader::For(backoff) => backoff,
         };
-        self.metrics.borrow_mut().rests += 1;
+        self.metrics.borrow_mut().backoffs += 1;
         let now = self.now();
         let until = now.plus(backoff.as_millis() as u64);
         if server.change_notice(|notice| notice.on_backoff(until, now)) {
@@ -148,7 +148,7 @@
 
     /// Counts an unreadable header and logs the first one of each server.
     fn on_unreadable_header(&self, server: &FleetServer, name: &str) {
-        self.metrics.borrow_mut().words_unreadable += 1;
+        self.metrics.borrow_mut().unreadable_headers += 1;
         if server.change_notice(ServerNotice::on_unreadable) {
             let fields = json!({ "server": server.id, "hall": server.hall, "word": name });
             self.log_event(EventCode::ServerWordUnreadable, fields);
--- a/src/entry/attempts/outcome.rs
+++ b/src/entry/attempts/outcome.rs
@@ -159,7 +159,7 @@
     pub(super) fn log_failed(&self, server: &FleetServer, result: &str) {
         let host = self.host;
         let open = self.open;
-        host.metrics.borrow_mut().on_offer_failed(result);
+        host.metrics.borrow_mut().on_attempt_failed(result);
         let now = host.now();
         let fields = json!({
             "id": open.forward.id,
--- a/src/entry/catch_up.rs
+++ b/src/entry/catch_up.rs
@@ -1,4 +1,4 @@
-//! Fetching from another host what this one has missed.
+//! Fetches state from another host when its heartbeat shows that this host is behind.
 
 use std::{cell, net, rc, time};
 
@@ -8,10 +8,10 @@
 use serde_json::json;
 
 use super::configuration::ServiceConfiguration;
+use super::expiry_retention::{MissingSource, ReportedRetentions};
 use super::gossip;
 use super::host::EntryHost;
 use super::host_gossip;
-use super::lapse_hold::{MissingSource, ToldHolds};
 use super::peer_message::{self, FleetUpdate, JoinAnswer, PeerHeartbeat, PeerSnapshot};
 use super::quarantine::message::SuspectRecord;
 use super::store::StoredObject;
@@ -19,43 +19,43 @@
 use crate::event::EventCode;
 use crate::http_client;
 
-/// Where a host serves all that it knows.
+/// Path of the snapshot of everything that a host knows.
 pub const SNAPSHOT_PATH: &str = "/snapshot";
-/// Where a host serves the changes of servers past the store's count that follows.
+/// Path of the server changes after a store revision; the revision follows.
 pub const CHANGES_PATH: &str = "/changes/";
-/// Where a host serves the configuration in force.
+/// Path of the active configuration.
 pub const CONFIGURATION_PATH: &str = "/configuration";
-/// Where a host serves what it knows of requests under which servers ended.
+/// Path of the suspects, the requests during which servers crashed.
 pub const SUSPECTS_PATH: &str = "/suspects";
 
-/// A host that hears of something newer waits a random part of this before it asks, in
-/// milliseconds: not all ask the same host, and news that is on its way arrives first.
-const SPREAD_MS: u64 = 150;
-/// A host that hears of newer servers waits this much longer, in milliseconds: the watchers of its
-/// own region see the same change a little earlier or later, and pass it on unasked.
-const NEWS_MS: u64 = 250;
-/// A fetch must end within this time: four ways between the farthest regions and the largest
-/// answer over a slow link.
-const FETCH_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// A host that has not answered by then is not waited for alone: another is asked as well. By the sum of
-/// the constants, not measured, news whose datagram was lost and whose first source hangs is known 1.7 s
-/// after the change instead of 3.2 s; a leaving server serves for 2 s and more. The largest answers in use
-/// should take a tenth of a second over a link of 10 Mbit/s.
-const SECOND_AFTER: time::Duration = time::Duration::from_millis(400);
-/// The largest answer that is read: some hundred servers and some thousand routes.
+/// A host that learns of newer state waits a random part of this time before it fetches it, in
+/// milliseconds: hosts don't all ask the same source, and updates in transit arrive first.
+const JITTER_MS: u64 = 150;
+/// The additional wait for newer servers, in milliseconds: the watchers of the own region see the
+/// same change at about the same time and forward it without a request.
+const UPDATE_WAIT_MS: u64 = 250;
+/// Timeout of a fetch: two round trips between the most distant regions and the largest answer over
+/// a slow link.
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// If the first source has not answered by then, a second one is asked as well. An update whose
+/// datagram was lost and whose first source hangs is then known 1.7 s after the change instead of
+/// 3.2 s, by the sum of the constants; a leaving server serves for at least 2 s. The largest
+/// answers in use should take a tenth of a second over a link of 10 Mbit/s.
+const HEDGE_DELAY: time::Duration = time::Duration::from_millis(400);
+/// The largest answer that is read, in bytes: some hundred servers and some thousand routes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// What a host may lack that another has told of.
+/// A kind of state that can be fetched from another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NewsKind {
+enum FetchKind {
     Configuration,
     Servers,
     Quarantine,
 }
 
-impl NewsKind {
+impl FetchKind {
     const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Quarantine];
 
-    /// Whether this host lacks what `heartbeat` tells of.
+    /// Whether `heartbeat` advertises newer state than this host has.
     fn is_missing<W: WireProtocol>(self, host: &EntryHost<W>, heartbeat: &PeerHeartbeat) -> bool {
         match self {
             Self::Configuration => heartbeat.configuration_version > host.configuration_version(),
@@ -64,17 +64,17 @@
         }
     }
 
-    /// How long news that is on its way gets before it is asked for, in milliseconds.
-    const fn patience_ms(self) -> u64 {
+    /// How long to wait for an update in transit before fetching it, in milliseconds.
+    const fn delay_ms(self) -> u64 {
         match self {
             Self::Configuration => 0,
-            Self::Servers | Self::Quarantine => NEWS_MS,
+            Self::Servers | Self::Quarantine => UPDATE_WAIT_MS,
         }
     }
 }
 
-/// What is being fetched from other hosts now. Each kind by itself, so that a fetch that hangs holds up
-/// no other news.
+/// Marks the fetches in flight. Each kind has its own flag, so that a hanging fetch does not delay
+/// the other kinds.
 #[derive(Debug, Default)]
 pub struct OpenFetches {
     configuration: cell::Cell<bool>,
@@ -83,18 +83,18 @@
 }
 
 impl OpenFetches {
-    const fn of(&self, kind: NewsKind) -> &cell::Cell<bool> {
+    const fn of(&self, kind: FetchKind) -> &cell::Cell<bool> {
         match kind {
-            NewsKind::Configuration => &self.configuration,
-            NewsKind::Servers => &self.servers,
-            NewsKind::Quarantine => &self.quarantine,
+            FetchKind::Configuration => &self.configuration,
+            FetchKind::Servers => &self.servers,
+            FetchKind::Quarantine => &self.quarantine,
         }
     }
 }
 
-/// Fetches what a peer's heartbeat shows to be missing, unless a fetch of that is under way.
+/// Fetches what a peer's heartbeat shows to be missing, unless a fetch of that kind is in flight.
 pub fn on_heartbeat<W: WireProtocol>(host: &rc::Rc<EntryHost<W>>, heartbeat: &PeerHeartbeat) {
-    let missing = NewsKind::ALL
+    let missing = FetchKind::ALL
         .into_iter()
         .filter(|kind| kind.is_missing(host, heartbeat));
     for kind in missing {
@@ -110,34 +110,34 @@
 
 async fn fetch_after_wait<W: WireProtocol>(
     host: rc::Rc<EntryHost<W>>,
-    kind: NewsKind,
+    kind: FetchKind,
     heartbeat: PeerHeartbeat,
     source: net::SocketAddr,
 ) {
-    let spread_ms = host.random.borrow_mut().random_range(0..SPREAD_MS);
-    let wait = time::Duration::from_millis(spread_ms + kind.patience_ms());
+    let jitter_ms = host.random.borrow_mut().random_range(0..JITTER_MS);
+    let wait = time::Duration::from_millis(jitter_ms + kind.delay_ms());
     tokio::time::sleep(wait).await;
     if kind.is_missing(&host, &heartbeat) {
-        fetch_from_either(&host, kind, source).await;
+        fetch_hedged(&host, kind, source).await;
     }
     host.fetches.of(kind).set(false);
 }
 
-/// Asks `source`, and another host as well if that one fails or is silent for a while.
-async fn fetch_from_either<W: WireProtocol>(
+/// Asks `source`, and another host as well if `source` fails or does not answer for a while.
+async fn fetch_hedged<W: WireProtocol>(
     host: &EntryHost<W>,
-    kind: NewsKind,
+    kind: FetchKind,
     source: net::SocketAddr,
 ) {
-    let mut first = std::pin::pin!(fetch_news(host, kind, source));
-    let first_answer = tokio::time::timeout(SECOND_AFTER, first.as_mut()).await;
-    if first_answer == Ok(FetchEnd::Answered) {
+    let mut first = std::pin::pin!(fetch_kind(host, kind, source));
+    let first_answer = tokio::time::timeout(HEDGE_DELAY, first.as_mut()).await;
+    if first_answer == Ok(FetchOutcome::Answered) {
         return;
     }
     let second = async {
         match other_source(host, source) {
-            Some(other) => fetch_news(host, kind, other).await,
-            None => FetchEnd::Silent,
+            Some(other) => fetch_kind(host, kind, other).await,
+            None => FetchOutcome::Failed,
         }
     };
     if first_answer.is_ok() {
@@ -145,9 +145,9 @@
         return;
     }
     tokio::select! {
-        FetchEnd::Answered = first => {}
-        FetchEnd::Answered = second => {}
-        // The next heartbeat leads to another try.
+        FetchOutcome::Answered = first => {}
+        FetchOutcome::Answered = second => {}
+        // The next heartbeat starts another fetch.
         else => {}
     }
 }
@@ -162,70 +162,77 @@
     peers.other_source(region, source, host.now(), &mut random)
 }
 
-async fn fetch_news<W: WireProtocol>(
+async fn fetch_kind<W: WireProtocol>(
     host: &EntryHost<W>,
-    kind: NewsKind,
+    kind: FetchKind,
     source: net::SocketAddr,
-) -> FetchEnd {
+) -> FetchOutcome {
     match kind {
-        NewsKind::Configuration => fetch_configuration(host, source).await,
-        NewsKind::Servers => fetch_changes(host, source).await,
-        NewsKind::Quarantine => fetch_suspects(host, source).await,
+        FetchKind::Configuration => fetch_configuration(host, source).await,
+        FetchKind::Servers => fetch_changes(host, source).await,
+        FetchKind::Quarantine => fetch_suspects(host, source).await,
     }
 }
 
-/// How a fetch ended.
+/// The outcome of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum FetchEnd {
-    /// The other host told what it knows.
+enum FetchOutcome {
+    /// The other host sent its state.
     Answered,
-    /// It did not answer, or not in a way that could be understood; the log says which.
-    Silent,
+    /// The other host did not answer, or its answer could not be decoded; the log says which.
+    Failed,
 }
 
-impl FetchEnd {
+impl FetchOutcome {
     const fn of<T>(fetched: Option<&T>) -> Self {
         match fetched {
             Some(_) => Self::Answered,
-            None => Self::Silent,
+            None => Self::Failed,
         }
     }
 }
 
-/// Fetches the changes of servers past what is known, or everything where that cannot be told.
-async fn fetch_changes<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
+/// Fetches the server changes since the known revision, or a whole snapshot if the changes are not
+/// available.
+async fn fetch_changes<W: WireProtocol>(
+    host: &EntryHost<W>,
+    source: net::SocketAddr,
+) -> FetchOutcome {
     let revision = host.fleet.borrow().revision();
     if !host.fleet.borrow().is_listed() {
         return fetch_snapshot(host, source).await;
     }
     let path = format!("{CHANGES_PATH}{revision}");
     match fetch::<W, Option<FleetUpdate>>(host, source, &path).await {
-        Some(Some(news)) => {
-            gossip::on_fleet_update(host, &news);
-            FetchEnd::Answered
+        Some(Some(update)) => {
+            gossip::on_fleet_update(host, &update);
+            FetchOutcome::Answered
         }
         Some(None) => fetch_snapshot(host, source).await,
-        None => FetchEnd::Silent,
+        None => FetchOutcome::Failed,
     }
 }
 
-async fn fetch_snapshot<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
+async fn fetch_snapshot<W: WireProtocol>(
+    host: &EntryHost<W>,
+    source: net::SocketAddr,
+) -> FetchOutcome {
     match fetch::<W, JoinAnswer>(host, source, SNAPSHOT_PATH).await {
         Some(JoinAnswer::Snapshot(packed)) => {
             let snapshot = packed.snapshot();
             if let Some(snapshot) = &snapshot {
-                take_over(host, snapshot, source);
+                apply_snapshot(host, snapshot, source);
             }
-            FetchEnd::of(snapshot.as_ref())
+            FetchOutcome::of(snapshot.as_ref())
         }
-        Some(JoinAnswer::Ask(_)) | None => FetchEnd::Silent,
+        Some(JoinAnswer::Ask(_)) | None => FetchOutcome::Failed,
     }
 }
 
 async fn fetch_configuration<W: WireProtocol>(
     host: &EntryHost<W>,
     source: net::SocketAddr,
-) -> FetchEnd {
+) -> FetchOutcome {
     let fetched = fetch::<W, Option<ServiceConfiguration>>(host, source, CONFIGURATION_PATH).await;
     if let Some(Some(configuration)) = &fetched {
         let before = host.configuration_version();
@@ -234,15 +241,18 @@
             gossip::forward_configuration_announcement(host);
         }
     }
-    FetchEnd::of(fetched.as_ref())
+    FetchOutcome::of(fetched.as_ref())
 }
 
-async fn fetch_suspects<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) -> FetchEnd {
+async fn fetch_suspects<W: WireProtocol>(
+    host: &EntryHost<W>,
+    source: net::SocketAddr,
+) -> FetchOutcome {
     let fetched = fetch::<W, Vec<SuspectRecord>>(host, source, SUSPECTS_PATH).await;
     if let Some(records) = &fetched {
         host.on_suspect_records(records, &source.to_string());
     }
-    FetchEnd::of(fetched.as_ref())
+    FetchOutcome::of(fetched.as_ref())
 }
 
 async fn fetch<W: WireProtocol, T: serde::de::DeserializeOwned>(
@@ -255,7 +265,7 @@
         .header(http::header::HOST, "peer")
         .body(Full::new(Bytes::new()))
         .ok()?;
-    let answer = http_client::exchange(source, request, FETCH_LIMIT, MAX_ANSWER_BYTES).await;
+    let answer = http_client::exchange(source, request, FETCH_TIMEOUT, MAX_ANSWER_BYTES).await;
     let Ok(answer) = answer else {
         host.log_event(
             EventCode::PeerSilent,
@@ -272,7 +282,7 @@
     }
 }
 
-pub(super) fn take_over<W: WireProtocol>(
+pub(super) fn apply_snapshot<W: WireProtocol>(
     host: &EntryHost<W>,
     snapshot: &PeerSnapshot,
     source: net::SocketAddr,
@@ -291,8 +301,8 @@
     }
     if snapshot.fleet_revision > host.fleet.borrow().revision() {
         let objects: Vec<_> = snapshot.servers.objects().map(StoredObject::from).collect();
-        let told = ToldHolds::from_gone(&snapshot.kept, host.now());
-        let missing = MissingSource::Peer(&told);
+        let reported = ReportedRetentions::from_gone(&snapshot.kept, host.now());
+        let missing = MissingSource::Peer(&reported);
         host.on_server_list(&objects, snapshot.fleet_revision, missing, &source);
     }
     if snapshot.evacuation_revision > host.evacuation_revision() {
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -6,10 +6,10 @@
 
 use std::{cmp, collections, rc};
 
+use super::expiry_retention::{ExpiryRetention, MissingSource, ReturnObservation};
 use super::fleet_change::{ChangeSpan, FleetChange, RetainedServer};
 use super::fleet_index::FleetIndex;
 use super::fleet_server::FleetServer;
-use super::lapse_hold::{LapseHold, MissingSource, ReturnSight};
 use super::name_interner::NameInterner;
 use super::past_notices::PastNotices;
 use super::removed_servers::{RemovalKind, RemovedServers, ServerIncarnation};
@@ -90,7 +90,7 @@
     pub(super) past_notices: PastNotices,
     revision: u64,
     changed: u64,
-    retention: LapseHold,
+    retention: ExpiryRetention,
     is_listed: bool,
 }
 
@@ -165,12 +165,12 @@
 
     /// Sets how long a leaving server continues to serve, in milliseconds.
     pub const fn set_leave_ms(&mut self, leave_ms: u64) {
-        self.retention.set_leave_ms(leave_ms);
+        self.retention.set_leave_time_ms(leave_ms);
     }
 
     /// The store is available again after an outage, first with its revision `revision`: entries
     /// that are missing from now on may only have expired.
-    pub fn on_store_return(&mut self, observation: ReturnSight, revision: u64, now: Moment) {
+    pub fn on_store_return(&mut self, observation: ReturnObservation, revision: u64, now: Moment) {
         self.retention.on_store_return(observation, revision, now);
     }
 
@@ -219,8 +219,8 @@
         match source {
             MissingSource::Store => self.retain_if_many(vanished, now),
             MissingSource::Peer(retentions) => {
-                if let Some(until) = retentions.longest() {
-                    self.retention.on_told(until);
+                if let Some(until) = retentions.latest_end() {
+                    self.retention.on_reported(until);
                 }
             }
         }
@@ -363,8 +363,8 @@
     ) -> Option<FleetChange> {
         let server = rc::Rc::clone(self.server(id)?);
         let retained = match source {
-            MissingSource::Store => self.retention.server_hold(by, now),
-            MissingSource::Peer(retentions) => retentions.server_hold(id),
+            MissingSource::Store => self.retention.server_retention(by, now),
+            MissingSource::Peer(retentions) => retentions.server_retention(id),
         };
         let Some(retained) = retained else {
             return self.remove_now(id, by, RemovalKind::Deleted, now);
--- a/src/entry/fleet_apply.rs
+++ b/src/entry/fleet_apply.rs
@@ -9,7 +9,7 @@
 use super::server::{self, ServerRecord, ServerState};
 use super::settings::HallMap;
 use super::store::{ObjectContent, StoredObject};
-use super::{store_era, store_position};
+use super::{store_epoch, store_position};
 use crate::timer::Moment;
 
 impl Fleet {
@@ -54,7 +54,7 @@
         let is_restarted =
             known.is_some_and(|known| server::start_order(record.born, known.stored.born).is_gt());
         let may_be_stale = !is_restarted && self.may_be_stale(object, record);
-        let ejected_until = may_be_stale.then(|| now.plus(store_era::SETTLE_MS));
+        let ejected_until = may_be_stale.then(|| now.plus(store_epoch::EPOCH_SETTLE_MS));
         if !is_restarted && let Some(entry) = self.entries.get_mut(&*record.id) {
             entry.revision = object.revision;
             let change = entry.update(record, now);
@@ -104,7 +104,7 @@
                 .removed
                 .removed_in_earlier_epoch(incarnation, object.revision);
         };
-        let epoch = store_position::era_of;
+        let epoch = store_position::epoch_of;
         known.stored.state == ServerState::Draining
             && epoch(object.revision) > epoch(known.revision)
     }
--- a/src/entry/fleet_change.rs
+++ b/src/entry/fleet_change.rs
@@ -1,6 +1,6 @@
 //! Changes of the known servers, and the extent of a batch of changes.
 
-use super::lapse_hold::HoldReason;
+use super::expiry_retention::RetentionReason;
 
 /// What a change did to the fleet, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     /// How much longer it is retained, in milliseconds.
     pub retained_ms: u64,
     /// Why it is retained.
-    pub reason: HoldReason,
+    pub reason: RetentionReason,
 }
 
 /// The extent of a batch of changes.
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -9,16 +9,16 @@
 use serde_json::json;
 use tokio::net::UdpSocket;
 
+use super::expiry_retention::{MissingSource, ReportedRetentions};
 use super::fleet_change::ChangeSpan;
 use super::host::EntryHost;
-use super::lapse_hold::{MissingSource, ToldHolds};
 use super::partial_updates::PartialUpdates;
 use super::peer_message::{self, FleetUpdate, GoneServer, PeerHeartbeat, PeerMessage, WatchState};
 use super::peers::PeerChange;
 use super::store::{ObjectChange, ObjectContent, StoredObject};
 use super::wire::WireProtocol;
 use super::{
-    catch_up, host_gossip, join_asking, limit_role, quarantine_role, server_limit_role,
+    catch_up, host_gossip, join_client, limit_role, quarantine_role, server_limit_role,
     update_fragment,
 };
 use crate::error::{self, Error};
@@ -142,7 +142,7 @@
 ) -> Vec<GoneServer> {
     let fleet = host.fleet.borrow();
     let gone = ids.into_iter().map(|id| {
-        let hold_ms = fleet.kept_ms(&id, now);
+        let hold_ms = fleet.retention_ms(&id, now);
         GoneServer { id, hold_ms }
     });
     gone.collect()
@@ -180,7 +180,7 @@
 pub(super) fn announce_start<W: WireProtocol>(host: &EntryHost<W>) {
     let has_read = host.peers.borrow().has_read_entries();
     let is_due = host.is_ready() && host.is_starting() && has_read;
-    if !is_due || !host.join.on_announced() {
+    if !is_due || !host.join.set_announced() {
         return;
     }
     let targets = host.peers.borrow().start_targets(&host.settings().region);
@@ -189,7 +189,7 @@
         &PeerMessage::Heartbeat(Box::new(host.heartbeat(true))),
         &targets,
     );
-    host.join.on_met(host.record());
+    host.join.on_discovered(host.record());
 }
 
 /// Sends a heartbeat with this host's record at once, so that lookups soon return this host, which
@@ -314,7 +314,7 @@
     host.on_leaving_report(&heartbeat.leaving_servers, &heartbeat.host);
     host.on_rollout_update(&heartbeat.rollouts);
     if heartbeat.ready && !heartbeat.leaving {
-        join_asking::on_ready_heard(host, heartbeat);
+        join_client::on_ready_peer(host, heartbeat);
     }
     catch_up::on_heartbeat(host, heartbeat);
 }
@@ -338,7 +338,7 @@
 }
 
 pub(super) fn on_fleet_update<W: WireProtocol>(host: &EntryHost<W>, update: &FleetUpdate) {
-    let holds = ToldHolds::from_gone(&update.gone, host.now());
+    let holds = ReportedRetentions::from_gone(&update.gone, host.now());
     let is_complete = host.socket.partial_updates.borrow_mut().on_fragment(update);
     let fleet = host.fleet.borrow();
     let contiguous = is_complete && fleet.is_listed() && update.since <= fleet.revision();
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -203,7 +203,7 @@
         *self.routes.borrow_mut() = Some(rc::Rc::new(table));
         self.log_event(EventCode::ConfigInstalled, fields);
         self.limits.on_configured();
-        self.on_learned(source);
+        self.on_state_received(source);
     }
 
     fn log_configuration_faults(&self, configuration: &ServiceConfiguration) {
@@ -257,14 +257,14 @@
             peers: self.peers.borrow().records().count(),
             limit_hosts: self.limits.hosts(),
             suspects: self.quarantine.digest().count,
-            barred_requests: self.quarantine.blocked_count(),
-            store_era: self.store_epoch.get(),
+            blocked_requests: self.quarantine.blocked_count(),
+            store_epoch: self.store_epoch.get(),
             limited_servers: self.server_limits.limited_count(),
             leaving_servers: self.count_servers(|server| server.notice().leaving_since().is_some()),
-            resting_servers: self.count_servers(|server| server.notice().is_in_backoff(now)),
+            servers_in_backoff: self.count_servers(|server| server.notice().is_in_backoff(now)),
             idle_connections: self.pool.borrow().idle_count(),
             open_requests: self.open_requests(),
-            log_left_out: loss.left_out,
+            log_suppressed: loss.left_out,
             log_dropped: loss.dropped,
         };
         self.metrics.borrow().page(&current)
@@ -279,20 +279,20 @@
     pub(super) fn on_tick(&self) {
         let now = self.now();
         self.log_stall(now);
-        self.look_at_watch_role();
+        self.update_watch_role();
         let changes = self.fleet.borrow_mut().on_tick(now);
         self.log_fleet_changes(&changes, "timer");
         let fleet = self.fleet.borrow();
         let is_gone = |id: &str| !fleet.contains(id);
         self.pool.borrow_mut().on_tick(is_gone, now);
-        self.forget_written_snapshot();
-        self.look_for_all_hosts(now);
+        self.drop_expired_snapshot();
+        self.update_membership_complete(now);
         self.quarantine.on_tick(now);
         self.on_limit_tick();
         self.on_leaving_tick();
         self.on_evacuation_tick();
         self.on_rollout_tick();
-        join::spread_met(self);
+        join::broadcast_discovered(self);
         self.log.flush();
     }
 
--- a/src/entry/host_fleet.rs
+++ b/src/entry/host_fleet.rs
@@ -3,10 +3,10 @@
 
 use serde_json::json;
 
+use super::expiry_retention::MissingSource;
 use super::fleet_change::{ChangeSpan, FleetChange};
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
-use super::lapse_hold::MissingSource;
 use super::store::{ObjectChange, StoredObject};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
@@ -32,7 +32,7 @@
         let changes = fleet.on_list(objects, revision, missing_source, &settings.halls, now);
         drop(fleet);
         self.log_fleet_changes(&changes, source);
-        self.on_learned(source);
+        self.on_state_received(source);
     }
 
     /// Applies changes of servers in their order.
--- a/src/entry/host_gossip.rs
+++ b/src/entry/host_gossip.rs
@@ -76,7 +76,7 @@
     let request = peers.missing_hosts_request(heartbeat, &own, host.now());
     drop(peers);
     if let Some(request) = request {
-        host.metrics.borrow_mut().unknown_hosts_told += request.unknown.len() as u64;
+        host.metrics.borrow_mut().unknown_hosts_reported += request.unknown.len() as u64;
         gossip::send(host, &PeerMessage::WhoIs(request), &[source]);
     }
 }
--- a/src/entry/join.rs
+++ b/src/entry/join.rs
@@ -1,7 +1,8 @@
-//! What a host does for others that start, and for requests that come before it can serve itself.
+//! The host's side of joining: answers join requests from hosts that are starting, and holds back
+//! callers' requests until this host can serve.
 //!
-//! Who is asked answers when it knows something itself, or names another host; [`super::join_role`]
-//! decides which. How a host asks stands in [`super::join_asking`].
+//! [`super::join_role`] decides whether a join request gets a snapshot or a redirect to another
+//! host. [`super::join_client`] is the requesting side.
 
 use std::{cell, time};
 
@@ -13,7 +14,7 @@
 
 use super::host::EntryHost;
 use super::host_gossip;
-use super::join_role::{JoinDecision, JoinQuestion, JoinRole, ParkedQuestions};
+use super::join_role::{JoinDecision, JoinRequest, JoinRole, PendingJoinRequests};
 use super::peer_message::{self, JoinAnswer, PackedSnapshot, PeerFormatError};
 use super::peers::HostRecord;
 use super::quarantine::message::QuarantineDigest;
@@ -21,35 +22,35 @@
 use crate::event::EventCode;
 use crate::timer::Moment;
 
-/// Where a host that starts asks others.
+/// Path of join requests.
 pub(super) const JOIN_PATH: &str = "/join";
-/// A host that knows nothing yet keeps a question this long: about what the first needs to
-/// read everything from the store. Then the asking host looks elsewhere.
-const PARK_LIMIT: time::Duration = time::Duration::from_millis(800);
-/// The largest question, in bytes.
-const MAX_QUESTION_BYTES: usize = 4 * 1024;
-/// What was written for one host is sent to others for this long, in milliseconds.
-const WRITTEN_VALID_MS: u64 = 100;
-/// A request that comes before this host can serve waits this long for that, in milliseconds: an eighth
-/// of the shortest goals in use, so that an answer is still in time.
-const WAIT_MS: u64 = 250;
-/// Requests wait only so shortly after the start, in milliseconds; a host that has learned nothing
-/// by then has nobody to learn from.
-const STARTING_MS: u64 = 2_000;
-
-/// What a host holds for joining, and for those who join.
+/// How long a host that is not ready holds a join request: about the time that the first host needs
+/// to read everything from the store. After that the requester tries another host.
+const PENDING_TIMEOUT: time::Duration = time::Duration::from_millis(800);
+/// The largest join request, in bytes.
+const MAX_REQUEST_BYTES: usize = 4 * 1024;
+/// How long an encoded snapshot is reused for other requesters, in milliseconds.
+const SNAPSHOT_REUSE_MS: u64 = 100;
+/// How long a request that arrives before this host can serve waits for that, in milliseconds: an
+/// eighth of the shortest goal in use, so that the answer can still be in time.
+const READY_WAIT_MS: u64 = 250;
+/// Requests wait only in this period after the start, in milliseconds. A host that has received
+/// nothing by then has no source to receive it from.
+const STARTUP_PERIOD_MS: u64 = 2_000;
+
+/// State for joining and for serving other hosts' join requests.
 #[derive(Debug, Default)]
 pub struct JoinState {
     role: cell::RefCell<JoinRole>,
-    parked: cell::RefCell<ParkedQuestions<oneshot::Sender<JoinDecision>>>,
-    written: cell::RefCell<Option<WrittenSnapshot>>,
-    /// Whether another host is reached that gives this one what it needs.
-    pub(super) contact: cell::Cell<bool>,
-    /// Hosts that were met and that others are still to be told of.
-    met: cell::RefCell<Vec<HostRecord>>,
-    /// Whether a host that said that it can serve is being asked.
-    pub(super) asks_heard: cell::Cell<bool>,
-    /// Whether others were told that this host is among the first to serve.
+    pending: cell::RefCell<PendingJoinRequests<oneshot::Sender<JoinDecision>>>,
+    encoded: cell::RefCell<Option<EncodedSnapshot>>,
+    /// Whether this host is connected to a host that may send it a snapshot.
+    pub(super) has_reached_peer: cell::Cell<bool>,
+    /// Newly discovered hosts that have not yet been announced to the others.
+    discovered: cell::RefCell<Vec<HostRecord>>,
+    /// Whether a join request to a host that advertised itself as ready is in flight.
+    pub(super) is_asking_ready_peer: cell::Cell<bool>,
+    /// Whether this host was announced as one of the first that can serve.
     announced: cell::Cell<bool>,
     /// Whether this host was ever able to serve.
     pub(super) complete: cell::Cell<bool>,
@@ -57,31 +58,31 @@
 }
 
 impl JoinState {
-    /// Whether another host was reached that gives, or gave, this one what it needs.
-    pub(super) const fn has_contact(&self) -> bool {
-        self.contact.get()
+    /// Whether this host has reached another one that sends, or sent, it a snapshot.
+    pub(super) const fn has_reached_peer(&self) -> bool {
+        self.has_reached_peer.get()
     }
 
-    /// Others are to be told of this run of a host.
-    pub(super) fn on_met(&self, record: HostRecord) {
-        self.met.borrow_mut().push(record);
+    /// Queues this run of a host for announcement to the others.
+    pub(super) fn on_discovered(&self, record: HostRecord) {
+        self.discovered.borrow_mut().push(record);
     }
 
-    /// Others are told; returns whether they were not before.
-    pub(super) fn on_announced(&self) -> bool {
+    /// Marks this host as announced; returns whether it was not announced before.
+    pub(super) fn set_announced(&self) -> bool {
         !self.announced.replace(true)
     }
 }
 
-/// A snapshot as it is sent, for as long as nothing in it has changed.
+/// An encoded snapshot, valid as long as its content has not changed.
 #[derive(Debug)]
-struct WrittenSnapshot {
+struct EncodedSnapshot {
     state: SnapshotState,
     at: Moment,
     bytes: Bytes,
 }
 
-/// What tells one snapshot from another, but for entry hosts that were met.
+/// Identifies the content of a snapshot, except for newly discovered entry hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SnapshotState {
     configuration_version: u64,
@@ -92,8 +93,9 @@
 }
 
 impl<W: WireProtocol> EntryHost<W> {
-    /// Something was learned: if this host can serve now, those who wait for that go on.
-    pub(super) fn on_learned(&self, source: &str) {
+    /// Called after new state was received: if this host can serve now, resumes waiting requests
+    /// and answers pending join requests.
+    pub(super) fn on_state_received(&self, source: &str) {
         if !self.is_ready() {
             return;
         }
@@ -107,57 +109,59 @@
             self.log_event(EventCode::KnowledgeComplete, fields);
             self.join.completed.notify_waiters();
         }
-        let parked = self.join.parked.borrow_mut().take();
-        for (question, asker) in parked {
-            // An asker that has given up asks again.
-            let _gone = asker.send(self.decide_join(&question));
+        let pending = self.join.pending.borrow_mut().take();
+        for (request, requester) in pending {
+            // A requester that has given up sends its request again.
+            let _gone = requester.send(self.decide_join(&request));
         }
     }
 
-    /// Waits a short while for what this host needs to serve, if it has just started. Without it all
-    /// requests of the first tenths of a second are refused, and callers come back but once or twice.
-    pub(super) async fn wait_for_knowledge(&self) {
+    /// Waits a short time until this host can serve, if it has just started. Without the wait, all
+    /// requests in the first tenths of a second are refused, and callers retry only once or twice.
+    pub(super) async fn wait_until_ready(&self) {
         if self.join.complete.get() || !self.is_starting() {
             return;
         }
         let completed = self.join.completed.notified();
-        // Whether it came is seen where it is needed.
-        let _elapsed = tokio::time::timeout(time::Duration::from_millis(WAIT_MS), completed).await;
+        // The caller checks readiness itself, so the timeout needs no handling.
+        let _elapsed =
+            tokio::time::timeout(time::Duration::from_millis(READY_WAIT_MS), completed).await;
     }
 
-    /// Whether this host has just started and is about to learn what it needs to serve, or has just done.
+    /// Whether this host has just started and cannot serve yet or only just can.
     pub(super) fn is_starting(&self) -> bool {
-        !self.is_leaving() && self.now().0 <= STARTING_MS
+        !self.is_leaving() && self.now().0 <= STARTUP_PERIOD_MS
     }
 
-    fn decide_join(&self, question: &JoinQuestion) -> JoinDecision {
-        let bytes = self.written_snapshot().map_or(0, |written| written.len());
+    fn decide_join(&self, request: &JoinRequest) -> JoinDecision {
+        let bytes = self.encoded_snapshot().map_or(0, |encoded| encoded.len());
         let link_mbps = self.settings().link_mbps;
         let now = self.now();
         let mut role = self.join.role.borrow_mut();
-        role.decide(question, bytes, link_mbps, now)
+        role.decide(request, bytes, link_mbps, now)
     }
 
-    /// All that another host may want to know, as it is sent: written once for many.
+    /// The encoded snapshot of everything that this host knows. It is encoded once for many
+    /// requesters.
     ///
     /// # Errors
-    /// `Malformed` when it cannot be written.
-    pub fn written_snapshot(&self) -> Result<Bytes, PeerFormatError> {
+    /// `Malformed` when it cannot be encoded.
+    pub fn encoded_snapshot(&self) -> Result<Bytes, PeerFormatError> {
         let now = self.now();
         let state = self.snapshot_state();
-        let mut written = self.join.written.borrow_mut();
-        if let Some(written) = &*written
-            && written.state == state
-            && now.since(written.at) < WRITTEN_VALID_MS
+        let mut encoded = self.join.encoded.borrow_mut();
+        if let Some(encoded) = &*encoded
+            && encoded.state == state
+            && now.since(encoded.at) < SNAPSHOT_REUSE_MS
         {
-            return Ok(written.bytes.clone());
+            return Ok(encoded.bytes.clone());
         }
         let snapshot = self.snapshot();
-        // How long those are kept is told as a rest, which shrinks.
+        // The remaining retention of servers is sent as a duration, which shrinks over time.
         let is_fixed = snapshot.kept.is_empty();
         let answer = JoinAnswer::Snapshot(PackedSnapshot::from_snapshot(&snapshot)?);
         let bytes = Bytes::from(peer_message::to_bytes(&answer)?);
-        *written = is_fixed.then(|| WrittenSnapshot {
+        *encoded = is_fixed.then(|| EncodedSnapshot {
             state,
             at: now,
             bytes: bytes.clone(),
@@ -175,66 +179,70 @@
         }
     }
 
-    /// Gives memory back that is needed only while others start.
-    pub(super) fn forget_written_snapshot(&self) {
+    /// Frees the encoded snapshot, which is needed only while other hosts start.
+    pub(super) fn drop_expired_snapshot(&self) {
         let now = self.now();
-        let mut written = self.join.written.borrow_mut();
-        let is_old = |written: &WrittenSnapshot| now.since(written.at) >= WRITTEN_VALID_MS;
-        if written.as_ref().is_some_and(is_old) {
-            *written = None;
+        let mut encoded = self.join.encoded.borrow_mut();
+        let is_old = |encoded: &EncodedSnapshot| now.since(encoded.at) >= SNAPSHOT_REUSE_MS;
+        if encoded.as_ref().is_some_and(is_old) {
+            *encoded = None;
         }
     }
 }
 
-/// Answers a host that starts; `None` if this one can't, for now.
+/// Answers a join request; `None` if this host cannot answer for now.
 pub(super) async fn answer<W: WireProtocol>(
     host: &EntryHost<W>,
     body: Incoming,
 ) -> Option<Result<Bytes, PeerFormatError>> {
-    let body = Limited::new(body, MAX_QUESTION_BYTES).collect().await;
-    let question = match peer_message::from_bytes::<JoinQuestion>(&body.ok()?.to_bytes()) {
-        Ok(question) => question,
+    let body = Limited::new(body, MAX_REQUEST_BYTES).collect().await;
+    let request = match peer_message::from_bytes::<JoinRequest>(&body.ok()?.to_bytes()) {
+        Ok(request) => request,
         Err(fault) => {
             host.log_malformed_message("a host that starts", &fault);
             return None;
         }
     };
-    on_asker(host, &question);
+    on_requester(host, &request);
     let decision = if host.is_ready() {
-        host.decide_join(&question)
+        host.decide_join(&request)
     } else {
-        park(host, question).await?
+        hold_until_ready(host, request).await?
     };
     match decision {
-        JoinDecision::Serve => Some(host.written_snapshot()),
-        JoinDecision::Ask(address) => {
-            let written = peer_message::to_bytes(&JoinAnswer::Ask(address));
-            Some(written.map(Bytes::from))
+        JoinDecision::Serve => Some(host.encoded_snapshot()),
+        JoinDecision::Redirect(address) => {
+            let encoded = peer_message::to_bytes(&JoinAnswer::Ask(address));
+            Some(encoded.map(Bytes::from))
         }
     }
 }
 
-/// A host that asks is met; the others are told, unless they know this run of it.
-fn on_asker<W: WireProtocol>(host: &EntryHost<W>, question: &JoinQuestion) {
-    let record = &question.record;
+/// Adds the requester to the known hosts, and announces it to the others unless this run of it is
+/// known already.
+fn on_requester<W: WireProtocol>(host: &EntryHost<W>, request: &JoinRequest) {
+    let record = &request.record;
     if host.peers.borrow().run_of(&record.name) < record.run {
         host_gossip::add_hosts(host, std::slice::from_ref(record));
-        host.join.on_met(record.clone());
+        host.join.on_discovered(record.clone());
     }
 }
 
-/// Tells others of the hosts that have asked since the last time.
-pub(super) fn spread_met<W: WireProtocol>(host: &EntryHost<W>) {
-    let met = host.join.met.take();
-    host_gossip::broadcast_host_update(host, &met, &[]);
+/// Announces the hosts that have sent join requests since the last call.
+pub(super) fn broadcast_discovered<W: WireProtocol>(host: &EntryHost<W>) {
+    let discovered = host.join.discovered.take();
+    host_gossip::broadcast_host_update(host, &discovered, &[]);
 }
 
-async fn park<W: WireProtocol>(
+async fn hold_until_ready<W: WireProtocol>(
     host: &EntryHost<W>,
-    question: JoinQuestion,
+    request: JoinRequest,
 ) -> Option<JoinDecision> {
-    let (asker, decision) = oneshot::channel();
-    let parked = host.join.parked.borrow_mut().park(question, asker);
-    parked.ok()?;
-    tokio::time::timeout(PARK_LIMIT, decision).await.ok()?.ok()
+    let (requester, decision) = oneshot::channel();
+    let pending = host.join.pending.borrow_mut().hold(request, requester);
+    pending.ok()?;
+    tokio::time::timeout(PENDING_TIMEOUT, decision)
+        .await
+        .ok()?
+        .ok()
 }
--- a/src/entry/join_asking.rs
+++ b/src/entry/join_client.rs
@@ -1,7 +1,8 @@
-//! How a host that starts gets what it needs to serve from other hosts.
+//! The requesting side of joining: gets a snapshot from another host at the start.
 //!
-//! It asks the seed that it reaches first, which is the nearest, then the hosts of its hall that keep an
-//! entry in the store, and any that says that it can serve. Who answers first counts.
+//! The host asks the seed that it connects to first, which is usually the nearest one, then the
+//! registered hosts of its hall, and any host that advertises itself as ready. The first answer is
+//! used.
 
 use std::{net, rc, time};
 
@@ -18,53 +19,59 @@
 use super::host::EntryHost;
 use super::host_gossip;
 use super::join;
-use super::join_role::{JoinQuestion, MAX_HOPS};
+use super::join_role::{JoinRequest, MAX_HOPS};
 use super::peer_message::{self, JoinAnswer, PeerHeartbeat, PeerSnapshot};
 use super::store::{ObjectStore, StoreFault};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 use crate::http_client::{self, ClientSender};
 
-/// The pause between two rounds of asking, in milliseconds; half of it at least. A process that
-/// starts at the same time listens within some ten.
-const ROUND_PAUSE_MS: u64 = 60;
-/// A connection must come up within this time: the farthest regions are 70 ms there and back.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(400);
-/// An answer must be here within this time: that and the transfer over a slow link.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(1_300);
-/// If the first that was asked has not answered by then, a second is asked as well: it may hang.
-const SECOND_AFTER: time::Duration = time::Duration::from_millis(500);
-/// A host that starts looks for others in the store after such a time, in milliseconds: by then a seed that
-/// lives has answered, and what 295 hosts ask at once is spread a little.
-const KEEPERS_AFTER_MS: std::ops::Range<u64> = 30..80;
-/// Known hosts that are asked besides the seeds when these did not help.
-const OTHER_SOURCES: usize = 3;
+/// The longest pause between two rounds of join requests, in milliseconds; the shortest is half of
+/// it. A process that starts at the same time listens within about ten milliseconds.
+const MAX_ROUND_PAUSE_MS: u64 = 60;
+/// Timeout for opening a connection. The round trip between the most distant regions takes 70 ms.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// Timeout for an answer: the time for which the other host holds a request and the transfer over a
+/// slow link.
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(1_300);
+/// If the first host has not answered by then, a second one is asked as well, since the first may
+/// hang.
+const HEDGE_DELAY: time::Duration = time::Duration::from_millis(500);
+/// A starting host looks up registered hosts in the store after a random delay in this range, in
+/// milliseconds. By then a running seed has answered, and the delay spreads the calls of 295 hosts
+/// that start at once.
+const STORE_LOOKUP_DELAY_MS: std::ops::Range<u64> = 30..80;
+/// Known hosts that are asked in addition to the seeds when no seed helped.
+const MAX_OTHER_SOURCES: usize = 3;
 /// The largest answer, in bytes: some thousand servers and some thousand routes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Starts the tasks that ask other hosts.
+/// Starts the tasks that send join requests.
 pub(super) fn spawn<W: WireProtocol, S: ObjectStore>(
     host: &rc::Rc<EntryHost<W>>,
     store: &rc::Rc<S>,
 ) {
     tokio::task::spawn_local(run(rc::Rc::clone(host)));
-    tokio::task::spawn_local(ask_keepers(rc::Rc::clone(host), rc::Rc::clone(store)));
+    tokio::task::spawn_local(ask_registered_hosts(
+        rc::Rc::clone(host),
+        rc::Rc::clone(store),
+    ));
 }
 
-/// Asks the hosts of the own hall that keep an entry in the store, if the seeds have not helped by then:
-/// these may start last, or not at all. When 295 hosts returned at once it saved calls of the store, 1,729 to
-/// 1,414 on that day, and no time: half were complete after 0.52 s with and without it (a play each).
-async fn ask_keepers<W: WireProtocol, S: ObjectStore>(
+/// Asks the registered hosts of the own hall if no seed has helped by then: the seeds may start
+/// last, or not at all. When 295 hosts returned at once, this reduced the store calls from 1,729 to
+/// 1,414. It saved no time: half of the hosts were complete after 0.52 s with and without it.
+async fn ask_registered_hosts<W: WireProtocol, S: ObjectStore>(
     host: rc::Rc<EntryHost<W>>,
     store: rc::Rc<S>,
 ) {
-    let pause_ms = host.random.borrow_mut().random_range(KEEPERS_AFTER_MS);
+    let pause_ms = host.random.borrow_mut().random_range(STORE_LOOKUP_DELAY_MS);
     tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
-    // When all start for the first time there are no entries.
+    // On the first start of the system there are no entries.
     if host.is_ready() || host.settings().first_start {
         return;
     }
-    let listed = tokio::time::timeout(ANSWER_LIMIT, store.list_hosts_stale()).await;
+    let listed = tokio::time::timeout(ANSWER_TIMEOUT, store.list_hosts_stale()).await;
     match listed.unwrap_or(Err(StoreFault::Unreachable)) {
         Ok(records) => host_gossip::add_hosts(&host, &records),
         Err(fault) => {
@@ -76,89 +83,90 @@
     }
     let own = host.record();
     while !host.is_ready() && !host.is_leaving() && host.is_starting() {
-        let keepers = host.peers.borrow().registered_hall_hosts(&own);
-        join_once(&host, &keepers).await;
-        tokio::time::sleep(time::Duration::from_millis(ROUND_PAUSE_MS)).await;
+        let registered = host.peers.borrow().registered_hall_hosts(&own);
+        join_once(&host, &registered).await;
+        tokio::time::sleep(time::Duration::from_millis(MAX_ROUND_PAUSE_MS)).await;
     }
 }
 
-/// Asks other hosts until this one can serve, whoever tells it what it needs.
+/// Sends join requests until this host can serve, whichever host sends the state.
 async fn run<W: WireProtocol>(host: rc::Rc<EntryHost<W>>) {
-    let mut avoided = None;
+    let mut failed_source = None;
     while !host.is_ready() && !host.is_leaving() {
-        let sources = sources_of(&host, avoided);
-        avoided = join_once(&host, &sources).await;
-        if avoided.is_some() {
-            host.join.contact.set(false);
+        let sources = sources_of(&host, failed_source);
+        failed_source = join_once(&host, &sources).await;
+        if failed_source.is_some() {
+            host.join.has_reached_peer.set(false);
         }
         if host.is_ready() {
             break;
         }
-        let longest = ROUND_PAUSE_MS;
+        let longest = MAX_ROUND_PAUSE_MS;
         let pause_ms = host.random.borrow_mut().random_range(longest / 2..=longest);
         tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
     }
     gossip::introduce(&host);
 }
 
-/// Another host says that it can serve: while this one can't, it asks that one as well.
-pub(super) fn on_ready_heard<W: WireProtocol>(
+/// Sends a join request to a host that advertises itself as ready, while this host is not.
+pub(super) fn on_ready_peer<W: WireProtocol>(
     host: &rc::Rc<EntryHost<W>>,
     heartbeat: &PeerHeartbeat,
 ) {
-    if host.join.complete.get() || host.join.asks_heard.get() {
+    if host.join.complete.get() || host.join.is_asking_ready_peer.get() {
         return;
     }
     let Some(source) = host.peers.borrow().peer_address(&heartbeat.host) else {
         return;
     };
-    host.join.asks_heard.set(true);
+    host.join.is_asking_ready_peer.set(true);
     let host = rc::Rc::clone(host);
     tokio::task::spawn_local(async move {
         let asked = join_once(&host, &[source]).await;
-        host.join.asks_heard.set(false);
+        host.join.is_asking_ready_peer.set(false);
         if asked.is_none() && host.is_ready() {
-            announce_elsewhere(&host, source);
+            announce_to_region(&host, source);
         }
     });
 }
 
-/// Tells the own region that this host can serve, if what it needed came from another region: it is among
-/// the first here.
-fn announce_elsewhere<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
+/// Announces to the own region that this host can serve, if its snapshot came from another region:
+/// it is then among the first of its region.
+fn announce_to_region<W: WireProtocol>(host: &EntryHost<W>, source: net::SocketAddr) {
     let region = host.settings().region.clone();
-    let is_near = host.peers.borrow().is_in_region(source, &region);
-    if !is_near {
+    let is_local = host.peers.borrow().is_in_region(source, &region);
+    if !is_local {
         gossip::announce_start(host);
     }
 }
 
-/// The seeds, but for the one that has just failed; then also some other hosts, if any are known.
+/// The seeds except the one that has just failed. After a failure some other known hosts are
+/// included.
 fn sources_of<W: WireProtocol>(
     host: &EntryHost<W>,
-    avoided: Option<net::SocketAddr>,
+    failed_source: Option<net::SocketAddr>,
 ) -> Vec<net::SocketAddr> {
     let settings = host.settings();
     let mut sources = settings.seeds.clone();
-    if avoided.is_some() {
+    if failed_source.is_some() {
         let peers = host.peers.borrow();
         let others = peers.records().map(|peer| peer.peer_address);
         let mut random = host.random.borrow_mut();
-        sources.extend(others.choose_multiple(&mut *random, OTHER_SOURCES));
+        sources.extend(others.choose_multiple(&mut *random, MAX_OTHER_SOURCES));
     }
-    sources.retain(|source| *source != settings.peer_address && Some(*source) != avoided);
+    sources.retain(|source| *source != settings.peer_address && Some(*source) != failed_source);
     sources
 }
 
-/// Asks the first of `sources` that is reached, and a second one if that takes long. Returns who
-/// was reached and did not help.
+/// Asks the first of `sources` that accepts a connection, and a second one if the answer takes
+/// long. Returns the host that was reached and did not help.
 async fn join_once<W: WireProtocol>(
     host: &EntryHost<W>,
     sources: &[net::SocketAddr],
 ) -> Option<net::SocketAddr> {
     tokio::select! {
         failed = ask_first(host, sources) => failed,
-        // Whoever told it.
+        // The state came from any host.
         () = host.join.completed.notified() => None,
     }
 }
@@ -167,12 +175,12 @@
     host: &EntryHost<W>,
     sources: &[net::SocketAddr],
 ) -> Option<net::SocketAddr> {
-    let (source, sender) = first_reached(sources).await?;
-    host.join.contact.set(true);
-    let mut first = std::pin::pin!(ask_along(host, source, sender));
-    let first_end = tokio::time::timeout(SECOND_AFTER, first.as_mut()).await;
-    if let Ok(end) = first_end {
-        return end.err();
+    let (source, sender) = connect_first(sources).await?;
+    host.join.has_reached_peer.set(true);
+    let mut first = std::pin::pin!(follow_redirects(host, source, sender));
+    let first_result = tokio::time::timeout(HEDGE_DELAY, first.as_mut()).await;
+    if let Ok(result) = first_result {
+        return result.err();
     }
     let second = async {
         let others: Vec<_> = sources
@@ -180,8 +188,8 @@
             .copied()
             .filter(|other| *other != source)
             .collect();
-        let (other, sender) = first_reached(&others).await.ok_or(source)?;
-        ask_along(host, other, sender).await
+        let (other, sender) = connect_first(&others).await.ok_or(source)?;
+        follow_redirects(host, other, sender).await
     };
     tokio::select! {
         Ok(()) = first => None,
@@ -190,11 +198,16 @@
     }
 }
 
-/// Connects to all of `sources` at once and keeps the connection that comes up first.
-async fn first_reached(sources: &[net::SocketAddr]) -> Option<(net::SocketAddr, ClientSender)> {
+/// Connects to all of `sources` at once and keeps the first connection that opens.
+async fn connect_first(sources: &[net::SocketAddr]) -> Option<(net::SocketAddr, ClientSender)> {
     let mut opening: FuturesUnordered<_> = sources
         .iter()
-        .map(|source| async move { (*source, http_client::connect(*source, CONNECT_LIMIT).await) })
+        .map(|source| async move {
+            (
+                *source,
+                http_client::connect(*source, CONNECT_TIMEOUT).await,
+            )
+        })
         .collect();
     while let Some((source, opened)) = opening.next().await {
         if let Ok(sender) = opened {
@@ -204,11 +217,12 @@
     None
 }
 
-/// Asks over an open connection, and whoever is named, until somebody tells everything.
+/// Sends a join request over an open connection and follows redirects until a host sends a
+/// snapshot.
 ///
 /// # Errors
-/// Who did not answer.
-async fn ask_along<W: WireProtocol>(
+/// The host that did not answer.
+async fn follow_redirects<W: WireProtocol>(
     host: &EntryHost<W>,
     first: net::SocketAddr,
     sender: ClientSender,
@@ -216,15 +230,18 @@
     let mut source = first;
     let mut sender = sender;
     for hops in 0..=MAX_HOPS {
-        match ask(host, source, sender, hops).await.ok_or(source)? {
+        match send_join_request(host, source, sender, hops)
+            .await
+            .ok_or(source)?
+        {
             JoinAnswer::Snapshot(packed) => {
                 let snapshot = packed.snapshot().ok_or(source)?;
-                take_over(host, &snapshot, source);
+                apply_snapshot(host, &snapshot, source);
                 return Ok(());
             }
             JoinAnswer::Ask(other) => {
                 source = other;
-                let opened = http_client::connect(other, CONNECT_LIMIT).await;
+                let opened = http_client::connect(other, CONNECT_TIMEOUT).await;
                 sender = opened.map_err(|_fault| first)?;
             }
         }
@@ -232,35 +249,35 @@
     Err(source)
 }
 
-fn take_over<W: WireProtocol>(
+fn apply_snapshot<W: WireProtocol>(
     host: &EntryHost<W>,
     snapshot: &PeerSnapshot,
     source: net::SocketAddr,
 ) {
-    // Another source may have been quicker.
+    // Another source may have answered first.
     if !host.is_ready() {
-        catch_up::take_over(host, snapshot, source);
+        catch_up::apply_snapshot(host, snapshot, source);
     }
 }
 
-async fn ask<W: WireProtocol>(
+async fn send_join_request<W: WireProtocol>(
     host: &EntryHost<W>,
     source: net::SocketAddr,
     mut sender: ClientSender,
     hops: u8,
 ) -> Option<JoinAnswer> {
-    let question = JoinQuestion {
+    let join_request = JoinRequest {
         record: host.record(),
         link_mbps: host.settings().link_mbps,
         hops,
     };
-    let bytes = peer_message::to_bytes(&question).ok()?;
+    let bytes = peer_message::to_bytes(&join_request).ok()?;
     let request = http::Request::post(join::JOIN_PATH)
         .header(http::header::HOST, "peer")
         .body(Full::new(Bytes::from(bytes)))
         .ok()?;
     let exchange = http_client::read_answer(&mut sender, request, MAX_ANSWER_BYTES);
-    let answer = tokio::time::timeout(ANSWER_LIMIT, exchange).await;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange).await;
     let Ok(Ok(answer)) = answer else {
         let fields = json!({ "peer": source.to_string(), "path": join::JOIN_PATH });
         host.log_event(EventCode::PeerSilent, fields);
--- a/src/entry/join_role.rs
+++ b/src/entry/join_role.rs
@@ -1,68 +1,69 @@
-//! From whom a host that starts gets what it needs to serve: decisions only, driven by messages and
-//! time.
+//! Decides which host sends a snapshot to a host that is starting. It does no I/O: messages and
+//! time are its input.
 //!
 //! **Load pattern.** All hosts lose power, or are killed, and start again within a few tenths of a
-//! second, while callers go on sending. Each knows a few seeds, and each needs the configuration and the
-//! list of servers. If the seeds sent these to all, their links would bind: 100 KB for each of 98 hosts of
-//! a region take 0.4 s on 200 Mbit/s.
+//! second, while callers go on sending. Each host knows a few seeds, and needs the configuration
+//! and the list of servers. If only the seeds sent these, their links would be the bottleneck: 100
+//! KB for each of 98 hosts of a region take 0.4 s at 200 Mbit/s.
 //!
-//! So a host that is asked serves as many as its own link can bear within [`WAVE_MS`] and names to the
-//! others one that it has served before. The number of hosts that can serve grows with each wave, and
-//! the time until all are served grows with the logarithm of their number. Who is asked before it knows
-//! anything keeps the question, and answers the hosts with the fastest links first, since those
-//! serve the most.
+//! A host therefore serves as many requesters as its own link can carry within [`WAVE_MS`], and
+//! redirects the others to a host that it has served before. The number of hosts that can serve
+//! grows with each wave, so the time until all are served grows with the logarithm of their number.
+//! A host that is not ready holds requests and then answers the requesters with the fastest links
+//! first, since those can serve the most others.
 
 use super::peers::HostRecord;
 use crate::timer::Moment;
 
-/// A link is filled for this long before others are asked to help, in milliseconds: a tenth of what
-/// callers of the shortest goals in use can wait beside the work.
+/// How long a link is filled before requesters are redirected, in milliseconds: a tenth of the time
+/// that callers with the shortest goals in use can wait in addition to the work.
 pub const WAVE_MS: u64 = 100;
-/// Hosts that were served this long ago are not named any more, in milliseconds: by then a host that
-/// starts alone is served at once, and one that has ended since must not be named.
-const CARRIER_MS: u64 = 3_000;
-/// After so many hosts that named another one, a question is served whatever the load.
+/// Requesters are not redirected to hosts that were served longer ago than this, in milliseconds.
+/// By then a host that starts alone is served at once, and redirects must not lead to a host that
+/// has stopped since.
+const SOURCE_VALID_MS: u64 = 3_000;
+/// After this many redirects a request is served regardless of the load.
 pub const MAX_HOPS: u8 = 3;
-/// Questions that are kept until this host knows something, at most; as many connections.
-const MAX_PARKED: usize = 512;
-/// One message in a wave at least, however slow the link.
-const LEAST_PER_WAVE: u64 = 1;
-/// Bytes a millisecond of one Mbit/s.
-const BYTES_PER_MS_OF_MBPS: u64 = 125;
-
-/// What a host that starts tells whom it asks.
+/// The most requests held until this host is ready; each holds a connection.
+const MAX_PENDING: usize = 512;
+/// At least one snapshot is sent in each wave, however slow the link is.
+const MIN_PER_WAVE: u64 = 1;
+/// Bytes per millisecond at 1 Mbit/s.
+const BYTES_PER_MS_PER_MBPS: u64 = 125;
+
+/// A join request of a starting host.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct JoinQuestion {
-    /// Who asks.
+pub struct JoinRequest {
+    /// The host that sends the request.
     pub record: HostRecord,
-    /// What its link carries, in Mbit/s.
+    /// The bandwidth of its link, in Mbit/s.
     pub link_mbps: u32,
-    /// How many hosts have named another one before.
+    /// How many redirects it has followed.
     pub hops: u8,
 }
 
-/// What comes of a question.
+/// What to do with a join request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JoinDecision {
-    /// Send it what is known.
+    /// Send a snapshot.
     Serve,
-    /// Name it another host that knows it, or will in a moment.
-    Ask(std::net::SocketAddr),
+    /// Redirect to another host that has the state, or receives it in a moment.
+    Redirect(std::net::SocketAddr),
 }
 
-/// A host that was served, and what it may pass on.
+/// A host that was served, and can serve others.
 #[derive(Debug)]
-struct JoinCarrier {
+struct JoinSource {
     name: String,
     address: std::net::SocketAddr,
     hall: String,
     region: String,
     link_mbps: u32,
-    served: Moment,
+    served_at: Moment,
     load: WaveLoad,
 }
 
-/// How often one host was sent to, or sent, within the present wave.
+/// How many snapshots one host has been assigned, or has sent, in the current wave.
 #[derive(Debug, Clone, Copy, Default)]
 struct WaveLoad {
     began: Moment,
@@ -78,9 +79,9 @@
         }
     }
 
-    /// The part of a wave's room on a link that is taken: 1 when it is full.
-    fn filling(self, link_mbps: u32, bytes: usize, now: Moment) -> f64 {
-        self.count_at(now) as f64 / per_wave(link_mbps, bytes) as f64
+    /// The used part of a link's capacity in a wave; 1 when it is full.
+    fn utilization(self, link_mbps: u32, bytes: usize, now: Moment) -> f64 {
+        self.count_at(now) as f64 / snapshots_per_wave(link_mbps, bytes) as f64
     }
 
     fn add(&mut self, now: Moment) {
@@ -94,22 +95,23 @@
     }
 }
 
-/// Whom a host has served, and whom it may name.
+/// The hosts that this one has served, to which it can redirect requesters.
 #[derive(Debug, Default)]
 pub struct JoinRole {
     own: WaveLoad,
-    carriers: Vec<JoinCarrier>,
+    sources: Vec<JoinSource>,
 }
 
 impl JoinRole {
-    /// Decides on a question; what is sent has `bytes`, and this host's link carries `link_mbps`.
+    /// Decides on a join request. The snapshot has `bytes`, and this host's link carries
+    /// `link_mbps`.
     ///
     /// ```
-    /// use ledgespool::entry::join_role::{JoinDecision, JoinQuestion, JoinRole};
+    /// use ledgespool::entry::join_role::{JoinDecision, JoinRequest, JoinRole};
     /// # use ledgespool::entry::peers::HostRecord;
     /// # use ledgespool::timer::Moment;
     /// # let address: std::net::SocketAddr = "127.0.0.1:9".parse()?;
-    /// # let question = |name: &str| JoinQuestion {
+    /// # let request = |name: &str| JoinRequest {
     /// #     record: HostRecord {
     /// #         name: name.to_owned(), run: 1, hall: "east".to_owned(), region: "one".to_owned(),
     /// #         caller_address: address, peer_address: address, heartbeat_address: address,
@@ -120,113 +122,116 @@
     /// # };
     /// let mut role = JoinRole::default();
     /// let (bytes, link_mbps) = (250_000, 20);
-    /// assert_eq!(role.decide(&question("a"), bytes, link_mbps, Moment(0)), JoinDecision::Serve);
+    /// assert_eq!(role.decide(&request("a"), bytes, link_mbps, Moment(0)), JoinDecision::Serve);
     /// // The link is full for now, and "a" has what "b" needs.
-    /// let next = role.decide(&question("b"), bytes, link_mbps, Moment(1));
-    /// assert_eq!(next, JoinDecision::Ask(address));
+    /// let next = role.decide(&request("b"), bytes, link_mbps, Moment(1));
+    /// assert_eq!(next, JoinDecision::Redirect(address));
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn decide(
         &mut self,
-        question: &JoinQuestion,
+        request: &JoinRequest,
         bytes: usize,
         link_mbps: u32,
         now: Moment,
     ) -> JoinDecision {
-        self.carriers
-            .retain(|carrier| now.since(carrier.served) < CARRIER_MS);
-        if let Some(address) = self.name_carrier(question, bytes, link_mbps, now) {
-            return JoinDecision::Ask(address);
+        self.sources
+            .retain(|source| now.since(source.served_at) < SOURCE_VALID_MS);
+        if let Some(address) = self.select_source(request, bytes, link_mbps, now) {
+            return JoinDecision::Redirect(address);
         }
         self.own.add(now);
-        self.on_served(question, now);
+        self.on_served(request, now);
         JoinDecision::Serve
     }
 
-    /// A host to name, when this one's link is full in this wave: that of the region whose link is
-    /// fullest least, if that is less full than this host's. In the asking host's hall if there is a
-    /// choice; none in another region, where the way is longest and bytes are dearest.
-    fn name_carrier(
+    /// Selects a host for a redirect when this host's link is full in the current wave: the host of
+    /// the requester's region whose link is used least, if it is used less than this host's.
+    /// Prefers the requester's hall on a tie. Never selects a host in another region, where latency
+    /// and the cost of traffic are highest.
+    fn select_source(
         &mut self,
-        question: &JoinQuestion,
+        request: &JoinRequest,
         bytes: usize,
         link_mbps: u32,
         now: Moment,
     ) -> Option<std::net::SocketAddr> {
-        let own_filling = self.own.filling(link_mbps, bytes, now);
-        if question.hops >= MAX_HOPS || own_filling < 1.0 {
+        let own_utilization = self.own.utilization(link_mbps, bytes, now);
+        if request.hops >= MAX_HOPS || own_utilization < 1.0 {
             return None;
         }
-        let asker = &question.record;
-        let fits = |carrier: &&mut JoinCarrier| {
-            carrier.region == asker.region && carrier.name != asker.name
+        let requester = &request.record;
+        let is_eligible = |source: &&mut JoinSource| {
+            source.region == requester.region && source.name != requester.name
         };
-        let order = |carrier: &JoinCarrier| {
-            let filling = carrier.load.filling(carrier.link_mbps, bytes, now);
-            (filling, carrier.hall != asker.hall)
+        let rank = |source: &JoinSource| {
+            let utilization = source.load.utilization(source.link_mbps, bytes, now);
+            (utilization, source.hall != requester.hall)
         };
-        let carriers = self.carriers.iter_mut().filter(fits);
-        let best = carriers.min_by(|a, b| {
-            let (a, b) = (order(a), order(b));
+        let sources = self.sources.iter_mut().filter(is_eligible);
+        let best = sources.min_by(|a, b| {
+            let (a, b) = (rank(a), rank(b));
             a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
         })?;
-        if order(best).0 >= own_filling {
+        if rank(best).0 >= own_utilization {
             return None;
         }
         best.load.add(now);
         Some(best.address)
     }
 
-    fn on_served(&mut self, question: &JoinQuestion, now: Moment) {
-        let record = &question.record;
-        self.carriers.retain(|carrier| carrier.name != record.name);
-        self.carriers.push(JoinCarrier {
+    fn on_served(&mut self, request: &JoinRequest, now: Moment) {
+        let record = &request.record;
+        self.sources.retain(|source| source.name != record.name);
+        self.sources.push(JoinSource {
             name: record.name.clone(),
             address: record.peer_address,
             hall: record.hall.clone(),
             region: record.region.clone(),
-            link_mbps: question.link_mbps,
-            served: now,
+            link_mbps: request.link_mbps,
+            served_at: now,
             load: WaveLoad::default(),
         });
     }
 }
 
-/// How often `bytes` fit through a link within a wave.
-fn per_wave(link_mbps: u32, bytes: usize) -> u64 {
-    let carried = u64::from(link_mbps) * BYTES_PER_MS_OF_MBPS * WAVE_MS;
-    (carried / bytes.max(1) as u64).max(LEAST_PER_WAVE)
+/// How many times `bytes` fit through a link in a wave.
+fn snapshots_per_wave(link_mbps: u32, bytes: usize) -> u64 {
+    let carried = u64::from(link_mbps) * BYTES_PER_MS_PER_MBPS * WAVE_MS;
+    (carried / bytes.max(1) as u64).max(MIN_PER_WAVE)
 }
 
-/// Questions that came before this host knew anything.
+/// Join requests that arrived before this host was ready.
 #[derive(Debug)]
-pub struct ParkedQuestions<T> {
-    parked: Vec<(JoinQuestion, T)>,
+pub struct PendingJoinRequests<T> {
+    pending: Vec<(JoinRequest, T)>,
 }
 
-impl<T> Default for ParkedQuestions<T> {
+impl<T> Default for PendingJoinRequests<T> {
     fn default() -> Self {
-        Self { parked: Vec::new() }
+        Self {
+            pending: Vec::new(),
+        }
     }
 }
 
-impl<T> ParkedQuestions<T> {
-    /// Keeps a question; gives it back when there are too many.
+impl<T> PendingJoinRequests<T> {
+    /// Holds a request.
     ///
     /// # Errors
-    /// The asker, who must be told at once.
-    pub fn park(&mut self, question: JoinQuestion, asker: T) -> Result<(), T> {
-        if self.parked.len() >= MAX_PARKED {
-            return Err(asker);
+    /// Returns the requester when too many requests are held; it must be answered at once.
+    pub fn hold(&mut self, request: JoinRequest, requester: T) -> Result<(), T> {
+        if self.pending.len() >= MAX_PENDING {
+            return Err(requester);
         }
-        self.parked.push((question, asker));
+        self.pending.push((request, requester));
         Ok(())
     }
 
-    /// All that wait, those with the fastest links first.
-    pub fn take(&mut self) -> Vec<(JoinQuestion, T)> {
-        let mut parked = std::mem::take(&mut self.parked);
-        parked.sort_by_key(|(question, _)| std::cmp::Reverse(question.link_mbps));
-        parked
+    /// Takes all held requests, those with the fastest links first.
+    pub fn take(&mut self) -> Vec<(JoinRequest, T)> {
+        let mut pending = std::mem::take(&mut self.pending);
+        pending.sort_by_key(|(request, _)| std::cmp::Reverse(request.link_mbps));
+        pending
     }
 }
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The life of one entry host's process: start, regular work, signals, changed settings, end.
+//! The lifecycle of an entry host's process: startup, periodic work, signals, reloaded settings,
+//! shutdown.
 
 use std::{net, path, rc, time};
 
@@ -10,21 +11,21 @@
 use super::store::ObjectStore;
 use super::wire::WireProtocol;
 use super::{
-    follow, gossip, host_entries, join_asking, limit_role, listen, quarantine_role, rollout_role,
+    follow, gossip, host_entries, join_client, limit_role, listen, quarantine_role, rollout_role,
 };
 use crate::error;
 use crate::event::EventCode;
 
-/// How often what is due is looked after: idle connections, lapsed entries, the log.
-const TICK: time::Duration = time::Duration::from_millis(100);
-/// How often the settings file is looked at, in ticks; it may change without a signal.
-const SETTINGS_TICKS: u64 = 20;
+/// Interval of the periodic work: idle connections, expired entries, the log.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// How often the settings file is checked, in ticks; it may change without a signal.
+const SETTINGS_CHECK_TICKS: u64 = 20;
 
-/// Runs a host until the process is told to stop and its requests have ended.
+/// Runs a host until the process is told to stop and its requests have completed.
 ///
 /// # Errors
-/// `AddressInvalid` when a listener cannot be opened; I/O errors when signals or the log cannot
-/// be set up.
+/// `AddressInvalid` when a listener cannot be opened; I/O errors when signals or the log cannot be
+/// set up.
 pub async fn run<W, S, C>(
     file: &path::Path,
     settings: EntrySettings,
@@ -46,13 +47,13 @@
     host.log_event(EventCode::ProcessStarted, fields);
     listeners.serve(&host);
     gossip::spawn(&host)?;
-    join_asking::spawn(&host, &store);
+    join_client::spawn(&host, &store);
     limit_role::spawn(&host);
     follow::spawn(&host, &store);
     host_entries::spawn(&host, &store);
     quarantine_role::spawn(&host, &store);
     rollout_role::spawn(&host, &store);
-    look_after(&host, &store, file, signals).await;
+    run_event_loop(&host, &store, file, signals).await;
     host.log_event(
         EventCode::ProcessStopped,
         json!({ "open_requests": host.open_requests() }),
@@ -63,7 +64,7 @@
     Ok(())
 }
 
-/// The signals that concern a host.
+/// The signals that a host handles.
 #[derive(Debug)]
 struct StopSignals {
     terminate: tokio::signal::unix::Signal,
@@ -82,21 +83,21 @@
     }
 }
 
-async fn look_after<W: WireProtocol, S: ObjectStore>(
+async fn run_event_loop<W: WireProtocol, S: ObjectStore>(
     host: &rc::Rc<EntryHost<W>>,
     store: &rc::Rc<S>,
     file: &path::Path,
     mut signals: StopSignals,
 ) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut count = 0_u64;
+    let mut tick_count = 0_u64;
     loop {
         tokio::select! {
             _tick = ticks.tick() => {
                 host.on_tick();
-                count += 1;
-                if count.is_multiple_of(SETTINGS_TICKS) {
+                tick_count += 1;
+                if tick_count.is_multiple_of(SETTINGS_CHECK_TICKS) {
                     reload_settings(host, file);
                 }
                 if host.may_stop() {
@@ -117,14 +118,14 @@
     host.on_leaving();
     host.stop_coordinating();
     gossip::announce(host);
-    let withdrawal = host_entries::withdraw(rc::Rc::clone(host), rc::Rc::clone(store));
-    tokio::task::spawn_local(withdrawal);
+    let deregistration = host_entries::deregister(rc::Rc::clone(host), rc::Rc::clone(store));
+    tokio::task::spawn_local(deregistration);
 }
 
 fn reload_settings<W: WireProtocol>(host: &EntryHost<W>, file: &path::Path) {
     match settings::from_file(file) {
         Ok(settings) => host.install_settings(settings),
-        // What was in force stays so; the file is read again soon.
+        // The active settings stay; the file is read again soon.
         Err(fault) => host.log_event(
             EventCode::SettingsRejected,
             json!({ "code": fault.code().to_string(), "detail": fault.to_string() }),
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -231,7 +231,7 @@
         catch_up::SUSPECTS_PATH => {
             peer_response(host, encode(&host.quarantine.records(host.now())))
         }
-        catch_up::SNAPSHOT_PATH => peer_response(host, host.written_snapshot()),
+        catch_up::SNAPSHOT_PATH => peer_response(host, host.encoded_snapshot()),
         catch_up::CONFIGURATION_PATH => match host.routes() {
             Some(routes) => peer_response(host, routes.encoded()),
             None => peer_response(host, encode(&None::<ServiceConfiguration>)),
--- a/src/entry/metrics_page.rs
+++ b/src/entry/metrics_page.rs
@@ -1,54 +1,55 @@
-//! Counters and histograms of a process, served as one page of text.
+//! Counters and histograms of a process, served as a text page.
 
 use std::collections;
 use std::fmt::Write as _;
 
 use super::store::ObjectKind;
 
-/// Upper bounds of the latency histogram, in milliseconds: from the fastest warm answer to the
-/// longest deadline that is in use.
+/// Upper bounds of the latency histogram, in milliseconds: from the fastest answer of a warm server
+/// to the longest deadline in use.
 const BUCKETS_MS: [u64; 12] = [
     25, 50, 100, 200, 300, 400, 600, 1_000, 1_500, 2_500, 4_000, 8_000,
 ];
 
-/// Customers whose refusals are counted by name; those of others are summed up, so that the page stays small.
-const NAMED_CUSTOMERS: usize = 100;
-/// The name under which the others stand.
+/// The number of customers whose refusals are counted by name. All others share one counter, which
+/// limits the size of the page.
+const MAX_NAMED_CUSTOMERS: usize = 100;
+/// The label of the counter that all other customers share.
 const OTHER_CUSTOMERS: &str = "(others)";
 
-/// How a caller's request ended.
+/// The outcome of a caller's request. A refused request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum RequestEnd {
+pub enum RequestCompletion {
     /// A server's whole answer was delivered.
     Answered,
-    /// Refused unrun: no server would answer in time.
+    /// Refused: no server would answer in time.
     RefusedFull,
-    /// Refused unrun: no server may serve it.
+    /// Refused: no server may serve it.
     RefusedNoServer,
-    /// Refused unrun: there is no configuration yet.
+    /// Refused: there is no configuration yet.
     RefusedUnconfigured,
-    /// Refused unrun: there is no list of servers yet.
+    /// Refused: there is no list of servers yet.
     RefusedUnlisted,
-    /// Refused unrun: this host is about to stop.
+    /// Refused: this host is about to stop.
     RefusedLeaving,
-    /// Refused unrun: its customer's limit leaves no room.
+    /// Refused: its customer's limit has no free capacity.
     RefusedLimit,
-    /// Refused unrun: no region may serve both its route and its customer.
+    /// Refused: no region may serve both its route and its customer.
     RefusedHomes,
-    /// Refused unrun: servers ended under it.
+    /// Refused: servers crashed while processing it.
     RefusedQuarantined,
-    /// No route, or a request that breaks a limit.
+    /// No route matches, or the request breaks a limit.
     Rejected,
-    /// Sent, and no answer that can be trusted came.
+    /// Sent, but no answer arrived that can be trusted.
     Lost,
-    /// Sent, and its time ran out.
+    /// Sent, but its deadline passed.
     TimedOut,
-    /// The caller left first.
+    /// The caller disconnected first.
     CallerLeft,
 }
 
-impl RequestEnd {
-    /// The word in logs and metrics.
+impl RequestCompletion {
+    /// The label in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -76,92 +77,93 @@
     count: u64,
 }
 
-/// All figures of a process.
+/// All counters and histograms of a process.
 #[derive(Debug, Default)]
 pub struct EntryMetrics {
-    requests: collections::BTreeMap<(String, RequestEnd), u64>,
+    requests: collections::BTreeMap<(String, RequestCompletion), u64>,
     latency: collections::BTreeMap<String, Histogram>,
     store_calls: collections::BTreeMap<(&'static str, &'static str, &'static str), u64>,
     over_limit: collections::BTreeMap<String, u64>,
-    /// By what came of them: a few fixed words, and statuses of refusals.
-    offers_failed: collections::BTreeMap<String, u64>,
+    /// Failed attempts by result: one of a few fixed labels, or the status of a refusal.
+    attempts_failed: collections::BTreeMap<String, u64>,
     /// Requests that the limits of their customers let through.
     pub within_limit: u64,
-    /// Requests offered to a second server.
-    pub repeats: u64,
-    /// Repeats that the budget did not allow.
-    pub repeats_denied: u64,
+    /// Requests sent to a second server.
+    pub retries: u64,
+    /// Retries that the budget did not allow.
+    pub retries_denied: u64,
     /// Connections opened to servers.
     pub connections: u64,
-    /// Connections that did not come up.
+    /// Connections to servers that could not be opened.
     pub connect_failures: u64,
-    /// Requests that a server turned away unrun.
+    /// Requests that a server rejected without running them.
     pub shed: u64,
-    /// Servers that ended with requests of this host in hand.
-    pub servers_ended: u64,
-    /// Answers in which a server said something of itself that could not be understood.
-    pub words_unreadable: u64,
-    /// Requests for which servers asked this host for rest.
-    pub rests: u64,
-    /// Requests sent to servers that leave, since no other might serve them.
+    /// Servers that crashed while processing requests of this host.
+    pub servers_crashed: u64,
+    /// Answers with a header about the server's condition that could not be parsed.
+    pub unreadable_headers: u64,
+    /// Requests for which servers asked this host to back off.
+    pub backoffs: u64,
+    /// Requests sent to leaving servers, since no other server could serve them.
     pub sent_to_leaving: u64,
-    /// Rights to send to servers that name limits, as they were given to this host.
-    pub send_rights: u64,
-    /// Such rights that there were none of.
-    pub send_rights_denied: u64,
-    /// Questions for such rights that nobody answered in time, or that met no keeper.
-    pub send_rights_unanswered: u64,
-    /// Hosts that others told of and that were not known here.
-    pub unknown_hosts_told: u64,
-    /// Bytes sent to other hosts: datagrams, and answers to what they fetch.
+    /// Send tokens for servers with an advertised limit that were granted to this host.
+    pub send_tokens: u64,
+    /// Send tokens that were denied to this host.
+    pub send_tokens_denied: u64,
+    /// Requests for send tokens that were not answered in time, or that had no coordinator to ask.
+    pub send_tokens_unanswered: u64,
+    /// Hosts that others reported and that were unknown here.
+    pub unknown_hosts_reported: u64,
+    /// Bytes sent to other hosts: datagrams, and answers to fetches.
     pub peer_bytes_sent: u64,
     /// Answers dropped because they belonged to another request or broke the protocol.
     pub answers_dropped: u64,
 }
 
-/// Figures that are read when the page is made.
+/// Gauges that are read when the page is built.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CurrentFigures {
-    /// The configuration in force; 0 for none.
+    /// Version of the active configuration; 0 for none.
     pub configuration_version: u64,
-    /// How old the view of it is, in milliseconds; `None` before there is any, and then there is no line.
+    /// Age of the view of the configuration, in milliseconds; `None` before there is any, and the
+    /// metric is then omitted.
     pub configuration_age_ms: Option<u64>,
-    /// Backend servers known.
+    /// Known backend servers.
     pub servers: usize,
-    /// How often a server was put into the ways to find it.
+    /// How often a server was inserted into the indexes.
     pub servers_indexed: u64,
-    /// Other entry hosts known.
+    /// Other known entry hosts.
     pub peers: usize,
-    /// Hosts that this one divides limits by; 0 before it has lent its first part.
+    /// Hosts among which this one divides limits; 0 before it has leased its first share.
     pub limit_hosts: u32,
-    /// Requests under which servers ended that all hosts know, and what was cleared lately.
+    /// Suspect requests that all hosts know, including recently cleared ones.
     pub suspects: u32,
-    /// Requests that are kept from all servers.
-    pub barred_requests: usize,
-    /// The store's era, as far as this host knows; 0 where it tells none.
-    pub store_era: u64,
-    /// Servers that name a limit.
+    /// Requests that are blocked from all servers.
+    pub blocked_requests: usize,
+    /// The epoch of the store as known to this host; 0 if the store reports none.
+    pub store_epoch: u64,
+    /// Servers that advertise a limit.
     pub limited_servers: usize,
-    /// Servers that said that they leave, or were said to.
+    /// Servers that have announced that they leave, themselves or through others.
     pub leaving_servers: usize,
-    /// Servers that want no requests from this host now.
-    pub resting_servers: usize,
+    /// Servers that have asked this host to back off for now.
+    pub servers_in_backoff: usize,
     /// Idle connections to servers.
     pub idle_connections: usize,
-    /// Requests being served.
+    /// Requests in flight.
     pub open_requests: u32,
-    /// Log lines left out.
-    pub log_left_out: u64,
-    /// Log lines dropped.
+    /// Log lines that were suppressed.
+    pub log_suppressed: u64,
+    /// Log lines that were dropped.
     pub log_dropped: u64,
 }
 
 impl EntryMetrics {
-    /// A request ended.
-    pub fn on_request(&mut self, route: &str, end: RequestEnd, millis: u64) {
-        let key = (route.to_owned(), end);
+    /// Counts a completed request.
+    pub fn on_request(&mut self, route: &str, completion: RequestCompletion, millis: u64) {
+        let key = (route.to_owned(), completion);
         *self.requests.entry(key).or_default() += 1;
-        if end == RequestEnd::Answered {
+        if completion == RequestCompletion::Answered {
             self.latency
                 .entry(route.to_owned())
                 .or_default()
@@ -169,10 +171,10 @@
         }
     }
 
-    /// A request of `customer` was refused, since it would go beyond the limit.
+    /// Counts a request of `customer` that was refused because of its limit.
     pub fn on_over_limit(&mut self, customer: &str) {
         let is_named = self.over_limit.contains_key(customer);
-        let name = if is_named || self.over_limit.len() < NAMED_CUSTOMERS {
+        let name = if is_named || self.over_limit.len() < MAX_NAMED_CUSTOMERS {
             customer
         } else {
             OTHER_CUSTOMERS
@@ -180,30 +182,30 @@
         *self.over_limit.entry(name.to_owned()).or_default() += 1;
     }
 
-    /// An offer to a server brought no answer, for the reason `result`.
-    pub fn on_offer_failed(&mut self, result: &str) {
-        if let Some(count) = self.offers_failed.get_mut(result) {
+    /// Counts an attempt at a server that failed with `result`.
+    pub fn on_attempt_failed(&mut self, result: &str) {
+        if let Some(count) = self.attempts_failed.get_mut(result) {
             *count += 1;
         } else {
-            self.offers_failed.insert(result.to_owned(), 1);
+            self.attempts_failed.insert(result.to_owned(), 1);
         }
     }
 
-    /// A call to the store ended.
+    /// Counts a call to the store.
     pub fn on_store_call(&mut self, kind: ObjectKind, call: &'static str, result: &'static str) {
         let key = (kind.as_str(), call, result);
         *self.store_calls.entry(key).or_default() += 1;
     }
 
-    /// The page, in the text form that metrics collectors read.
+    /// The page in the text format that metrics collectors read.
     #[must_use]
     pub fn page(&self, current: &CurrentFigures) -> String {
         let mut page = String::with_capacity(4_096);
-        for ((route, end), count) in &self.requests {
-            let end = end.as_str();
+        for ((route, completion), count) in &self.requests {
+            let completion = completion.as_str();
             line(
                 &mut page,
-                &format!("ledgespool_requests_total{{route=\"{route}\",end=\"{end}\"}}"),
+                &format!("ledgespool_requests_total{{route=\"{route}\",end=\"{completion}\"}}"),
                 *count,
             );
         }
@@ -218,7 +220,7 @@
                 *count,
             );
         }
-        for (result, count) in &self.offers_failed {
+        for (result, count) in &self.attempts_failed {
             let labels = format!("result=\"{result}\"");
             line(
                 &mut page,
@@ -227,7 +229,7 @@
             );
         }
         for (customer, count) in &self.over_limit {
-            // Names of customers may hold quotation marks.
+            // Names of customers may contain quotation marks.
             let labels = format!("customer={customer:?}");
             line(
                 &mut page,
@@ -242,53 +244,59 @@
                 age_ms,
             );
         }
-        for (name, value) in self.plain(current) {
+        for (name, value) in self.unlabelled(current) {
             line(&mut page, name, value);
         }
         page
     }
 
-    fn plain(&self, current: &CurrentFigures) -> [(&'static str, u64); 31] {
+    fn unlabelled(&self, current: &CurrentFigures) -> [(&'static str, u64); 31] {
         [
             ("ledgespool_within_limit_total", self.within_limit),
             ("ledgespool_limit_hosts", u64::from(current.limit_hosts)),
-            ("ledgespool_repeats_total", self.repeats),
-            ("ledgespool_repeats_denied_total", self.repeats_denied),
+            ("ledgespool_repeats_total", self.retries),
+            ("ledgespool_repeats_denied_total", self.retries_denied),
             ("ledgespool_connections_total", self.connections),
             ("ledgespool_connect_failures_total", self.connect_failures),
             ("ledgespool_shed_total", self.shed),
             ("ledgespool_answers_dropped_total", self.answers_dropped),
-            ("ledgespool_server_ends_total", self.servers_ended),
+            ("ledgespool_server_ends_total", self.servers_crashed),
             ("ledgespool_suspects", u64::from(current.suspects)),
-            ("ledgespool_barred_requests", current.barred_requests as u64),
-            ("ledgespool_send_rights_total", self.send_rights),
+            (
+                "ledgespool_barred_requests",
+                current.blocked_requests as u64,
+            ),
+            ("ledgespool_send_rights_total", self.send_tokens),
             (
                 "ledgespool_send_rights_denied_total",
-                self.send_rights_denied,
+                self.send_tokens_denied,
             ),
             (
                 "ledgespool_send_rights_unanswered_total",
-                self.send_rights_unanswered,
+                self.send_tokens_unanswered,
             ),
             ("ledgespool_limited_servers", current.limited_servers as u64),
             ("ledgespool_leaving_servers", current.leaving_servers as u64),
-            ("ledgespool_resting_servers", current.resting_servers as u64),
-            ("ledgespool_server_rests_total", self.rests),
+            (
+                "ledgespool_resting_servers",
+                current.servers_in_backoff as u64,
+            ),
+            ("ledgespool_server_rests_total", self.backoffs),
             ("ledgespool_sent_to_leaving_total", self.sent_to_leaving),
             (
                 "ledgespool_server_words_unreadable_total",
-                self.words_unreadable,
+                self.unreadable_headers,
             ),
             (
                 "ledgespool_unknown_hosts_told_total",
-                self.unknown_hosts_told,
+                self.unknown_hosts_reported,
             ),
             ("ledgespool_peer_bytes_sent_total", self.peer_bytes_sent),
             (
                 "ledgespool_configuration_version",
                 current.configuration_version,
             ),
-            ("ledgespool_store_era", current.store_era),
+            ("ledgespool_store_era", current.store_epoch),
             ("ledgespool_servers", current.servers as u64),
             ("ledgespool_servers_indexed_total", current.servers_indexed),
             ("ledgespool_peers", current.peers as u64),
@@ -297,7 +305,7 @@
                 current.idle_connections as u64,
             ),
             ("ledgespool_open_requests", u64::from(current.open_requests)),
-            ("ledgespool_log_left_out_total", current.log_left_out),
+            ("ledgespool_log_left_out_total", current.log_suppressed),
             ("ledgespool_log_dropped_total", current.log_dropped),
         ]
     }
--- a/src/entry/quarantine_role/mod.rs
+++ b/src/entry/quarantine_role/mod.rs
@@ -234,7 +234,7 @@
 
     /// Handles a crash of a server on which `requests` of this host were in flight.
     fn on_server_crashed(&self, server: &FleetServer, requests: &[RequestFingerprint]) {
-        self.metrics.borrow_mut().servers_ended += 1;
+        self.metrics.borrow_mut().servers_crashed += 1;
         let listed = requests.iter().take(MAX_REQUESTS_PER_DATAGRAM);
         let listed: Vec<String> = listed.map(ToString::to_string).collect();
         let fields = json!({ "server": server.id, "count": requests.len(), "requests": listed });
--- a/src/entry/quarantine_role/store.rs
+++ b/src/entry/quarantine_role/store.rs
@@ -48,7 +48,7 @@
     if host.settings().first_start {
         host.quarantine.on_loaded();
     }
-    let mut pause_ms = follow::FIRST_PAUSE_MS;
+    let mut pause_ms = follow::MIN_BACKOFF_MS;
     while !host.quarantine.is_loaded.get() {
         // Only watchers read the store: they read the list of servers themselves because no other
         // host sent it.
@@ -60,8 +60,8 @@
             Ok(()) => host.quarantine.on_loaded(),
             Err(fault) => {
                 log_fault(&host, &fault);
-                follow::pause_up_to(&host, pause_ms).await;
-                pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
+                follow::sleep_with_jitter(&host, pause_ms).await;
+                pause_ms = (pause_ms * 2).min(follow::MAX_BACKOFF_MS);
             }
         }
     }
@@ -74,7 +74,7 @@
     let mut after: Option<String> = None;
     for _ in 0..MAX_PAGES {
         let page =
-            follow::within_limit(store.list(ObjectKind::Quarantine, after.as_deref())).await?;
+            follow::with_timeout(store.list(ObjectKind::Quarantine, after.as_deref())).await?;
         apply_objects(host, &page.objects);
         after = page.objects.last().map(|object| object.name.clone());
         if !page.more || after.is_none() {
@@ -150,11 +150,11 @@
     store: &S,
     task: &StoreTask,
 ) {
-    let mut pause_ms = follow::FIRST_PAUSE_MS;
-    while let Err(fault) = follow::within_limit(run_task(store, task)).await {
+    let mut pause_ms = follow::MIN_BACKOFF_MS;
+    while let Err(fault) = follow::with_timeout(run_task(store, task)).await {
         log_fault(host, &fault);
-        follow::pause_up_to(host, pause_ms).await;
-        pause_ms = (pause_ms * 2).min(follow::MAX_PAUSE_MS);
+        follow::sleep_with_jitter(host, pause_ms).await;
+        pause_ms = (pause_ms * 2).min(follow::MAX_BACKOFF_MS);
     }
 }
 
--- a/src/entry/removed_servers.rs
+++ b/src/entry/removed_servers.rs
@@ -124,7 +124,7 @@
         position: u64,
     ) -> bool {
         let last = self.last_removal(incarnation.id);
-        let epoch = store_position::era_of;
+        let epoch = store_position::epoch_of;
         last.is_some_and(|removed| {
             epoch(removed.removed_by) < epoch(position) && incarnation.born <= removed.born
         })
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -17,7 +17,7 @@
 use super::fingerprint::RequestFingerprint;
 use super::fleet_server::FleetServer;
 use super::host::EntryHost;
-use super::metrics_page::RequestEnd;
+use super::metrics_page::RequestCompletion;
 use super::open_request::OpenRequest;
 use super::pool::ServerSender;
 use super::quarantine_role;
@@ -37,7 +37,7 @@
     request: http::Request<Incoming>,
 ) -> CallerResponse<W> {
     let mut guard = RequestGuard::begin(&host, request.headers());
-    host.wait_for_knowledge().await;
+    host.wait_until_ready().await;
     let response = match OpenRequest::read(&host, request, guard.arrived).await {
         Ok(open) => {
             guard.route = Some(rc::Rc::clone(&open.route));
@@ -140,7 +140,7 @@
             let millis = self.host.now().since(self.arrived);
             let route = self.route_name();
             let mut metrics = self.host.metrics.borrow_mut();
-            metrics.on_request(route, RequestEnd::CallerLeft, millis);
+            metrics.on_request(route, RequestCompletion::CallerLeft, millis);
             let fields = json!({ "id": self.id, "route": route, "after_ms": millis });
             self.host
                 .log
@@ -222,7 +222,7 @@
     let millis = host.now().since(open.arrived);
     host.metrics
         .borrow_mut()
-        .on_request(&open.route.name, RequestEnd::Answered, millis);
+        .on_request(&open.route.name, RequestCompletion::Answered, millis);
     let fields = json!({
         "id": open.forward.id,
         "route": open.route.name,
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -4,7 +4,7 @@
 use super::choice::NoServer;
 use super::customer::KeyDigest;
 use super::limits::message::LimitTrace;
-use super::metrics_page::RequestEnd;
+use super::metrics_page::RequestCompletion;
 use super::quarantine;
 use crate::result_code::ResultCode;
 
@@ -21,7 +21,7 @@
     /// The HTTP status for the caller.
     pub(super) status: http::StatusCode,
     /// The outcome under which metrics count the request.
-    pub(super) completion: RequestEnd,
+    pub(super) completion: RequestCompletion,
     /// After how many milliseconds the caller should retry; `None` if a retry does not help.
     pub(super) retry_after_ms: Option<u64>,
     /// The reason, for the log.
@@ -39,44 +39,51 @@
     /// The result code in the response and the log.
     pub(super) const fn code(&self) -> ResultCode {
         match (self.completion, self.status) {
-            (RequestEnd::RefusedFull, _) => ResultCode::BudgetExhausted,
-            (RequestEnd::RefusedNoServer | RequestEnd::RefusedUnlisted, _) => {
+            (RequestCompletion::RefusedFull, _) => ResultCode::BudgetExhausted,
+            (RequestCompletion::RefusedNoServer | RequestCompletion::RefusedUnlisted, _) => {
                 ResultCode::NoHealthyServer
             }
-            (RequestEnd::RefusedUnconfigured, _) => ResultCode::ConfigurationMissing,
-            (RequestEnd::RefusedLeaving, _) => ResultCode::HostLeaving,
-            (RequestEnd::RefusedLimit, _) => ResultCode::LimitReached,
-            (RequestEnd::RefusedHomes, _) => ResultCode::HomesApart,
-            (RequestEnd::RefusedQuarantined, _) => ResultCode::RequestQuarantined,
-            (RequestEnd::Rejected, http::StatusCode::UNAUTHORIZED) => ResultCode::KeyRefused,
-            (RequestEnd::Rejected, http::StatusCode::NOT_FOUND) => ResultCode::ServiceUnknown,
-            (RequestEnd::Rejected, http::StatusCode::PAYLOAD_TOO_LARGE) => ResultCode::BodyTooLarge,
-            (RequestEnd::Rejected, http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE) => {
-                ResultCode::HeadTooLarge
+            (RequestCompletion::RefusedUnconfigured, _) => ResultCode::ConfigurationMissing,
+            (RequestCompletion::RefusedLeaving, _) => ResultCode::HostLeaving,
+            (RequestCompletion::RefusedLimit, _) => ResultCode::LimitReached,
+            (RequestCompletion::RefusedHomes, _) => ResultCode::HomesApart,
+            (RequestCompletion::RefusedQuarantined, _) => ResultCode::RequestQuarantined,
+            (RequestCompletion::Rejected, http::StatusCode::UNAUTHORIZED) => ResultCode::KeyRefused,
+            (RequestCompletion::Rejected, http::StatusCode::NOT_FOUND) => {
+                ResultCode::ServiceUnknown
+            }
+            (RequestCompletion::Rejected, http::StatusCode::PAYLOAD_TOO_LARGE) => {
+                ResultCode::BodyTooLarge
             }
-            (RequestEnd::Rejected, _) => ResultCode::BodyBroken,
-            (RequestEnd::TimedOut, _) => ResultCode::DeadlinePassed,
-            (RequestEnd::Lost | RequestEnd::CallerLeft | RequestEnd::Answered, _) => {
-                ResultCode::AnswerLost
+            (RequestCompletion::Rejected, http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE) => {
+                ResultCode::HeadTooLarge
             }
+            (RequestCompletion::Rejected, _) => ResultCode::BodyBroken,
+            (RequestCompletion::TimedOut, _) => ResultCode::DeadlinePassed,
+            (
+                RequestCompletion::Lost
+                | RequestCompletion::CallerLeft
+                | RequestCompletion::Answered,
+                _,
+            ) => ResultCode::AnswerLost,
         }
     }
 
     /// The host has no configuration yet.
     pub(super) const UNCONFIGURED: Self = Self::refused(
-        RequestEnd::RefusedUnconfigured,
+        RequestCompletion::RefusedUnconfigured,
         NO_CONFIGURATION_RETRY_MS,
         "no configuration yet",
     );
     /// The host has no list of servers yet.
     pub(super) const NO_SERVER_LIST: Self = Self::refused(
-        RequestEnd::RefusedUnlisted,
+        RequestCompletion::RefusedUnlisted,
         NO_CONFIGURATION_RETRY_MS,
         "no list of servers yet",
     );
     /// The host stops before the request's deadline.
     pub(super) const LEAVING: Self = Self::refused(
-        RequestEnd::RefusedLeaving,
+        RequestCompletion::RefusedLeaving,
         LEAVING_RETRY_MS,
         "this host stops before the request's deadline",
     );
@@ -91,12 +98,12 @@
     /// Route and customer allow no common region. A retry does not help.
     pub(super) const NO_COMMON_REGION: Self = Self::with_status(
         http::StatusCode::SERVICE_UNAVAILABLE,
-        RequestEnd::RefusedHomes,
+        RequestCompletion::RefusedHomes,
         "no region is allowed by both the route and the customer",
     );
     /// Servers crashed while they processed this request, so no other server gets it.
     pub(super) const QUARANTINED: Self = Self::refused(
-        RequestEnd::RefusedQuarantined,
+        RequestCompletion::RefusedQuarantined,
         quarantine::RETRY_AFTER_MS,
         "servers crashed while processing the request",
     );
@@ -108,12 +115,16 @@
     /// The request was sent and not answered before its deadline.
     pub(super) const TIMED_OUT: Self = Self::with_status(
         http::StatusCode::GATEWAY_TIMEOUT,
-        RequestEnd::TimedOut,
+        RequestCompletion::TimedOut,
         "no answer before the deadline",
     );
 
     /// The request has not run and may be retried.
-    const fn refused(completion: RequestEnd, retry_after_ms: u64, reason: &'static str) -> Self {
+    const fn refused(
+        completion: RequestCompletion,
+        retry_after_ms: u64,
+        reason: &'static str,
+    ) -> Self {
         Self {
             status: http::StatusCode::SERVICE_UNAVAILABLE,
             completion,
@@ -127,7 +138,7 @@
 
     const fn with_status(
         status: http::StatusCode,
-        completion: RequestEnd,
+        completion: RequestCompletion,
         reason: &'static str,
     ) -> Self {
         Self {
@@ -151,18 +162,22 @@
 
     /// The request itself is invalid.
     pub(super) const fn rejected(status: http::StatusCode, reason: &'static str) -> Self {
-        Self::with_status(status, RequestEnd::Rejected, reason)
+        Self::with_status(status, RequestCompletion::Rejected, reason)
     }
 
     /// The request was sent and no trustworthy answer came back.
     pub(super) const fn lost(reason: &'static str) -> Self {
-        Self::with_status(http::StatusCode::BAD_GATEWAY, RequestEnd::Lost, reason)
+        Self::with_status(
+            http::StatusCode::BAD_GATEWAY,
+            RequestCompletion::Lost,
+            reason,
+        )
     }
 
     /// Every server that got the request reported that it did not run it.
     pub(super) const fn not_run(retry_after_ms: u64) -> Self {
         Self::refused(
-            RequestEnd::RefusedFull,
+            RequestCompletion::RefusedFull,
             retry_after_ms,
             "no server that got the request ran it",
         )
@@ -184,7 +199,7 @@
     /// unreadable.
     pub(super) const fn undecided_key(key: KeyDigest) -> Self {
         let failure = Self::refused(
-            RequestEnd::RefusedUnconfigured,
+            RequestCompletion::RefusedUnconfigured,
             NO_CONFIGURATION_RETRY_MS,
             "the key may belong to a customer that cannot be read from the configuration",
         );
@@ -200,7 +215,7 @@
             limit: Some(trace),
             status: http::StatusCode::TOO_MANY_REQUESTS,
             ..Self::refused(
-                RequestEnd::RefusedLimit,
+                RequestCompletion::RefusedLimit,
                 retry_after_ms,
                 "the customer's limit is reached",
             )
@@ -211,17 +226,17 @@
     pub(super) const fn without_server(reason: NoServer, retry_after_ms: u64) -> Self {
         match reason {
             NoServer::AllFull => Self::refused(
-                RequestEnd::RefusedFull,
+                RequestCompletion::RefusedFull,
                 retry_after_ms,
                 "every server would answer after the deadline",
             ),
             NoServer::AllLimited => Self::refused(
-                RequestEnd::RefusedFull,
+                RequestCompletion::RefusedFull,
                 retry_after_ms,
                 "every server is at its limit or in backoff",
             ),
             NoServer::NoneEligible => Self::refused(
-                RequestEnd::RefusedNoServer,
+                RequestCompletion::RefusedNoServer,
                 retry_after_ms,
                 "no server is eligible",
             ),
--- a/src/entry/server_limit_role.rs
+++ b/src/entry/server_limit_role.rs
@@ -107,15 +107,15 @@
         let mut metrics = self.metrics.borrow_mut();
         let wait_ms = match verdict {
             Some(TokenVerdict::Granted) => {
-                metrics.send_rights += 1;
+                metrics.send_tokens += 1;
                 return Some(SendToken::Until(until));
             }
             Some(TokenVerdict::Denied { available_in_ms }) => {
-                metrics.send_rights_denied += 1;
+                metrics.send_tokens_denied += 1;
                 u64::from(available_in_ms)
             }
             Some(TokenVerdict::NotHere) | None => {
-                metrics.send_rights_unanswered += 1;
+                metrics.send_tokens_unanswered += 1;
                 UNANSWERED_SKIP_MS
             }
         };
@@ -192,7 +192,7 @@
     /// Grants a token as the limit owner. A host that has not yet seen the other hosts of its
     /// region grants none: it might take itself for the owner of every server's limit.
     fn grant_send_token(&self, server: &FleetServer) -> TokenVerdict {
-        if !self.has_met_region() {
+        if !self.has_discovered_region() {
             return TokenVerdict::NotHere;
         }
         let mut table = self.server_limits.table.borrow_mut();
--- a/src/entry/store_news.rs
+++ b/src/entry/store_updates.rs
@@ -1,18 +1,18 @@
-//! What a host does with what the store shows it.
+//! Applies the lists and changes that a host reads from the store.
 
 use serde_json::json;
 
+use super::expiry_retention::MissingSource;
 use super::fleet_change::ChangeSpan;
 use super::gossip;
 use super::host::EntryHost;
 use super::host_gossip;
-use super::lapse_hold::MissingSource;
 use super::peer_message::{GoneHost, HostUpdate};
 use super::store::{ChangeBatch, ObjectContent, ObjectKind, StoredObject};
 use super::wire::WireProtocol;
 use crate::event::EventCode;
 
-/// Takes over a whole list of a kind, current up to `revision`.
+/// Applies a whole list of a kind, current up to `revision`.
 pub(super) fn on_list<W: WireProtocol>(
     host: &EntryHost<W>,
     kind: ObjectKind,
@@ -41,7 +41,7 @@
             let records: Vec<_> = records.collect();
             host_gossip::add_hosts(host, &records);
             host.peers.borrow_mut().on_entries(&records);
-            look_for_own_entry(host, objects);
+            check_own_entry(host, objects);
         }
         // Not followed: `quarantine_role` reads it once.
         ObjectKind::Quarantine => {}
@@ -49,8 +49,9 @@
     gossip::announce_start(host);
 }
 
-/// A store that came back from an older copy may have lost this host's entry, or shows it at another position.
-fn look_for_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
+/// Checks the own entry: a store that returned from an older backup may have lost it, or may hold
+/// it at another revision.
+fn check_own_entry<W: WireProtocol>(host: &EntryHost<W>, objects: &[StoredObject]) {
     if host.own_entry_revision.get().is_none() {
         return;
     }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Takes over what a watch of a kind brought, and passes it on to the other hosts.
+/// Applies the changes that a watch reported, and forwards them to the other hosts.
 pub(super) fn on_changes<W: WireProtocol>(
     host: &EntryHost<W>,
     kind: ObjectKind,
@@ -100,29 +101,29 @@
 }
 
 fn on_hosts<W: WireProtocol>(host: &EntryHost<W>, batch: &ChangeBatch) {
-    let mut news = HostUpdate::default();
+    let mut update = HostUpdate::default();
     for change in &batch.changes {
         if change.deleted {
-            let gone = gone_host(host, &change.object);
+            let removed = removed_host(host, &change.object);
             let mut peers = host.peers.borrow_mut();
-            peers.on_entry_gone(&gone.name, gone.run);
+            peers.on_entry_gone(&removed.name, removed.run);
             drop(peers);
-            host_gossip::on_host_gone(host, &gone);
-            news.gone.push(gone);
+            host_gossip::on_host_gone(host, &removed);
+            update.gone.push(removed);
         } else if let ObjectContent::Host(record) = &change.object.content {
             host.peers.borrow_mut().on_entry(record);
-            news.joined.push(record.clone());
+            update.joined.push(record.clone());
         }
     }
-    host_gossip::add_hosts(host, &news.joined);
-    host_gossip::send_host_update(host, news);
+    host_gossip::add_hosts(host, &update.joined);
+    host_gossip::send_host_update(host, update);
 }
 
-/// The run whose entry is gone: as the store tells, else the one that is known.
-fn gone_host<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject) -> GoneHost {
+/// The run whose entry was deleted: the one that the store reports, or else the one that is known.
+fn removed_host<W: WireProtocol>(host: &EntryHost<W>, object: &StoredObject) -> GoneHost {
     let run = match &object.content {
         ObjectContent::Host(record) => record.run,
-        // A host knows itself not from the table.
+        // The table of peers does not contain the host itself.
         _ if object.name == host.settings().name => host.run,
         _ => host.peers.borrow().run_of(&object.name),
     };
--- a/tests/entry_fleet.rs
+++ b/tests/entry_fleet.rs
@@ -1,9 +1,11 @@
 //! Tests of what an entry host knows of servers, for any order of updates.
 
 use ledgespool::entry::budget::{ColdShare, RetryShare, RetryWindow};
+use ledgespool::entry::expiry_retention::{
+    EXPIRY_GRACE_MS, MissingSource, ReportedRetentions, ReturnObservation,
+};
 use ledgespool::entry::fleet::Fleet;
 use ledgespool::entry::fleet_change::{ChangeSpan, FleetChange};
-use ledgespool::entry::lapse_hold::{LAPSE_GRACE_MS, MissingSource, ReturnSight, ToldHolds};
 use ledgespool::entry::peer_message::GoneServer;
 use ledgespool::entry::server::{ServerLoad, ServerRecord, ServerState};
 use ledgespool::entry::settings::HallMap;
@@ -151,7 +153,7 @@
 fn missing_entries_are_retained_after_a_store_outage() {
     let mut fleet = Fleet::default();
     apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
-    fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::InTime, 9, Moment(1_000));
     let applied = apply_list(&mut fleet, &[], 9, 1_000);
     assert_eq!(applied.len(), 2);
     assert_eq!(ids(&fleet), ["a", "b"]);
@@ -162,8 +164,12 @@
         span(11),
         2_000,
     );
-    assert!(fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS - 1)).is_empty());
-    let applied = fleet.on_tick(Moment(1_000 + LAPSE_GRACE_MS));
+    assert!(
+        fleet
+            .on_tick(Moment(1_000 + EXPIRY_GRACE_MS - 1))
+            .is_empty()
+    );
+    let applied = fleet.on_tick(Moment(1_000 + EXPIRY_GRACE_MS));
     assert_eq!(applied, [FleetChange::Removed("b".to_owned())]);
     assert_eq!(ids(&fleet), ["a"]);
 }
@@ -265,7 +271,7 @@
 fn a_retained_server_is_not_reported_as_present() {
     let mut fleet = Fleet::default();
     apply_list(&mut fleet, &[object("a", 3), object("b", 4)], 5, 0);
-    fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::InTime, 9, Moment(1_000));
     apply_changes(&mut fleet, &[change(object("a", 3), true)], span(9), 1_000);
     assert_eq!(ids(&fleet), ["a", "b"], "it is retained here");
     let reported: Vec<_> = fleet.objects().map(|object| object.record.id).collect();
@@ -275,7 +281,7 @@
         "other hosts could not detect the end of its retention"
     );
     let reported = fleet.changes_since(8, Moment(1_300)).expect("it is known");
-    assert_eq!(reported.gone, [gone("a", LAPSE_GRACE_MS - 300)]);
+    assert_eq!(reported.gone, [gone("a", EXPIRY_GRACE_MS - 300)]);
 }
 
 #[test]
@@ -291,7 +297,7 @@
     assert_eq!(ids(&fleet).len(), 10, "two may leave at the same time");
     apply_changes(&mut fleet, &gone(2..5), span(10), 2);
     assert_eq!(ids(&fleet).len(), 10, "three of ten may have expired");
-    fleet.on_tick(Moment(2 + LAPSE_GRACE_MS));
+    fleet.on_tick(Moment(2 + EXPIRY_GRACE_MS));
     assert_eq!(
         ids(&fleet).len(),
         7,
@@ -330,7 +336,7 @@
 #[test]
 fn entries_missing_after_a_store_outage_are_retained_for_less_than_the_leave_time() {
     let (mut fleet, servers) = twelve_servers();
-    fleet.on_store_return(ReturnSight::InTime, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::InTime, 9, Moment(1_000));
     // This one went missing during the outage of the store.
     apply_changes(&mut fleet, &removals(&servers[..1]), span(9), 1_000);
     apply_changes(&mut fleet, &removals(&servers[1..2]), span(10), 1_100);
@@ -338,7 +344,7 @@
         let applied = fleet.on_tick(Moment(now));
         applied.len()
     };
-    let moments = [1_100, 1_100 + LEAVE_MS - 300, 1_000 + LAPSE_GRACE_MS];
+    let moments = [1_100, 1_100 + LEAVE_MS - 300, 1_000 + EXPIRY_GRACE_MS];
     assert_eq!(moments.map(gone), [0, 1, 1]);
 }
 
@@ -347,7 +353,7 @@
 #[test]
 fn after_a_late_detected_outage_only_later_missing_entries_are_retained() {
     let (mut fleet, servers) = twelve_servers();
-    fleet.on_store_return(ReturnSight::Late, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::Late, 9, Moment(1_000));
     let at_first = removals(&servers[..1]);
     apply_changes(&mut fleet, &at_first, span(9), 1_000);
     assert_eq!(ids(&fleet).len(), 11, "it may have left long ago");
@@ -363,7 +369,7 @@
 #[test]
 fn a_group_missing_after_a_late_detected_outage_is_retained() {
     let (mut fleet, servers) = twelve_servers();
-    fleet.on_store_return(ReturnSight::Late, 9, Moment(1_000));
+    fleet.on_store_return(ReturnObservation::Late, 9, Moment(1_000));
     let at_first = removals(&servers[..6]);
     apply_changes(&mut fleet, &at_first, span(9), 1_000);
     assert_eq!(ids(&fleet).len(), 12);
@@ -374,7 +380,7 @@
 #[test]
 fn servers_are_retained_as_long_as_the_peer_reports() {
     let (mut fleet, servers) = twelve_servers();
-    let reported = ToldHolds::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
+    let reported = ReportedRetentions::from_gone(&[gone("s-00", 0), gone("s-01", 400)], Moment(50));
     fleet.on_changes(
         &removals(&servers[..6]),
         span(11),
@@ -384,7 +390,7 @@
     );
     assert_eq!(ids(&fleet).len(), 7, "one of the six is retained");
     assert_eq!(
-        fleet.kept_ms("s-01", Moment(150)),
+        fleet.retention_ms("s-01", Moment(150)),
         300,
         "the time that is forwarded"
     );
