--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationFault {
     /// The route's type is unknown; its requests run at most once.
-    #[error("route {route:?}: unknown type {kind:?}; its requests run at most once")]
+    #[error("route {route:?}: the type {kind:?} is not known; its requests run once at most")]
     UnknownKind {
         /// The route's name.
         route: String,
@@ -41,7 +41,7 @@
         kind: String,
     },
     /// A route is unreadable; its requests are refused if its host and path are readable.
-    #[error("route {route:?} cannot be read and its requests are refused: {reason}")]
+    #[error("route {route:?} cannot be read, and its requests are refused: {reason}")]
     UnreadableRoute {
         /// The route's name; empty if it is unreadable too.
         route: String,
--- a/src/entry/customer.rs
+++ b/src/entry/customer.rs
@@ -105,7 +105,7 @@
     #[error("customer {0:?} has no key")]
     NoKeys(String),
     /// Two customers have the same key; requests that carry it are refused.
-    #[error("customers {first:?} and {second:?} have the same key, with fingerprint {key}")]
+    #[error("the key with fingerprint {key} is held by {first:?} and {second:?}")]
     SharedKey {
         /// The shared key.
         key: KeyDigest,
@@ -115,10 +115,10 @@
         second: String,
     },
     /// The limit is invalid; the customer has no limit.
-    #[error("the limit of customer {0:?} is below zero or not a number")]
+    #[error("the limit of customer {0:?} is below zero or no number")]
     InvalidLimit(String),
     /// The name cannot be sent to servers in a header; the customer's requests are refused.
-    #[error("the name of customer {0:?} is not a valid header value")]
+    #[error("the name of customer {0:?} cannot stand in a header")]
     InvalidName(String),
 }
 
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -136,9 +136,7 @@
             }
             // Without this check a page that does not advance would be read forever.
             if last <= after {
-                return Err(StoreFault::Malformed(
-                    "the list does not advance".to_owned(),
-                ));
+                return Err(StoreFault::Malformed("a list that does not end".to_owned()));
             }
             after = last;
         }
--- a/src/entry/open_request.rs
+++ b/src/entry/open_request.rs
@@ -203,7 +203,7 @@
         )),
         Ok(Err(_)) => Err(RequestFailure::rejected(
             http::StatusCode::BAD_REQUEST,
-            "the connection broke within the body",
+            "the body broke off",
         )),
         Err(_elapsed) => Err(RequestFailure::rejected(
             http::StatusCode::REQUEST_TIMEOUT,
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -114,7 +114,7 @@
     #[error("the connection was refused")]
     Refused,
     /// The connection timed out or broke. The server may still be running.
-    #[error("the connection timed out or broke")]
+    #[error("the connection did not come up")]
     Unreachable,
 }
 
--- a/src/entry/request_failure.rs
+++ b/src/entry/request_failure.rs
@@ -85,27 +85,26 @@
     pub(super) const LEAVING: Self = Self::refused(
         RequestCompletion::RefusedLeaving,
         LEAVING_RETRY_MS,
-        "this host stops before the request's deadline",
+        "this host stops before the request's time is over",
     );
     /// No route matches the request.
-    pub(super) const NO_ROUTE: Self =
-        Self::rejected(http::StatusCode::NOT_FOUND, "no route matches");
+    pub(super) const NO_ROUTE: Self = Self::rejected(http::StatusCode::NOT_FOUND, "no route");
     /// The request carries no key although its route requires one.
     pub(super) const MISSING_KEY: Self = Self::rejected(http::StatusCode::UNAUTHORIZED, "no key");
     /// The request carries more than one key.
     pub(super) const MULTIPLE_KEYS: Self =
-        Self::rejected(http::StatusCode::UNAUTHORIZED, "more than one key");
+        Self::rejected(http::StatusCode::UNAUTHORIZED, "several keys");
     /// Route and customer allow no common region. A retry does not help.
     pub(super) const NO_COMMON_REGION: Self = Self::with_status(
         http::StatusCode::SERVICE_UNAVAILABLE,
         RequestCompletion::RefusedHomes,
-        "no region is allowed by both the route and the customer",
+        "no region may serve both its route and its customer",
     );
     /// Servers crashed while they processed this request, so no other server gets it.
     pub(super) const QUARANTINED: Self = Self::refused(
         RequestCompletion::RefusedQuarantined,
         quarantine::RETRY_AFTER_MS,
-        "servers crashed while processing the request",
+        "servers ended under it",
     );
     /// The headers exceed the configured size.
     pub(super) const HEAD_TOO_LARGE: Self = Self::rejected(
@@ -116,7 +115,7 @@
     pub(super) const TIMED_OUT: Self = Self::with_status(
         http::StatusCode::GATEWAY_TIMEOUT,
         RequestCompletion::TimedOut,
-        "no answer before the deadline",
+        "no answer in time",
     );
 
     /// The request has not run and may be retried.
@@ -179,7 +178,7 @@
         Self::refused(
             RequestCompletion::RefusedFull,
             retry_after_ms,
-            "no server that got the request ran it",
+            "no server that was asked ran it",
         )
     }
 
@@ -187,7 +186,7 @@
     pub(super) const fn unknown_key(key: KeyDigest) -> Self {
         let failure = Self::rejected(
             http::StatusCode::UNAUTHORIZED,
-            "the key belongs to no customer",
+            "a key that no customer holds",
         );
         Self {
             key: Some(key),
@@ -201,7 +200,7 @@
         let failure = Self::refused(
             RequestCompletion::RefusedUnconfigured,
             NO_CONFIGURATION_RETRY_MS,
-            "the key may belong to a customer that cannot be read from the configuration",
+            "a key that may be of a customer who could not be read",
         );
         Self {
             key: Some(key),
@@ -228,17 +227,17 @@
             NoServer::AllFull => Self::refused(
                 RequestCompletion::RefusedFull,
                 retry_after_ms,
-                "every server would answer after the deadline",
+                "every server would answer too late",
             ),
             NoServer::AllLimited => Self::refused(
                 RequestCompletion::RefusedFull,
                 retry_after_ms,
-                "every server is at its limit or in backoff",
+                "every server has as many requests as it takes",
             ),
             NoServer::NoneEligible => Self::refused(
                 RequestCompletion::RefusedNoServer,
                 retry_after_ms,
-                "no server is eligible",
+                "no server may serve it now",
             ),
         }
     }
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -130,23 +130,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFault {
     /// No connection, a broken one, or no answer in time. A write may still take effect later.
-    #[error("the store does not answer")]
+    #[error("the store gives no answer")]
     Unreachable,
     /// The store rejects calls for now; nothing was done.
-    #[error("the store refuses calls with status {0}")]
+    #[error("the store refuses with status {0}")]
     Refused(u16),
     /// The history after the watched revision is gone; the kind must be listed again.
-    #[error("the store no longer has the watched history")]
+    #[error("the store has forgotten the watched history")]
     HistoryGone,
     /// The answer belongs to an earlier epoch of the store: what it reports or confirms may be
     /// lost.
-    #[error("the store has returned from an older backup since it gave this answer")]
+    #[error("the store has come back from a copy since it gave this answer")]
     FormerEpoch,
     /// The object is not at the expected revision, or already exists.
-    #[error("the object is at another revision")]
+    #[error("the object stands at another revision")]
     Conflict,
     /// The object does not exist.
-    #[error("the object does not exist")]
+    #[error("there is no such object")]
     Absent,
     /// The answer could not be decoded.
     #[error("the store's answer is malformed: {0}")]
